--- /dev/null
+++ b/src/main/java/dillfront/simulation/system/SystemSimulation.java
@@ -0,0 +1,1033 @@
+package dillfront.simulation.system;
+
+import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonObject;
+import dillfront.common.config.Configuration;
+import dillfront.common.config.NodeSettings;
+import dillfront.common.environment.Environment;
+import dillfront.dataplane.DataPlaneNode;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
+
+/**
+ * One day of the whole system in simulated time: both programs' own code, database servers, an
+ * operator, the platform, clients, and an auditor. Three zones, each a region; a control machine in
+ * each.
+ */
+public final class SystemSimulation {
+
+    static final int DATA_PLANE_PORT = 8_000;
+    static final int READINESS_PORT = 8_001;
+    private static final int FIRST_DATABASE_PORT = 8_080;
+    private static final int PLATFORM_PORT = 8_783;
+    static final String[] ZONES = {"a", "b", "c"};
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 1_200;
+
+    private static final class DataPlaneMachine {
+        Simulator.Machine host;
+        DataPlaneNode node;
+
+        /** Since when nothing has happened to it. */
+        long stableFromMillis;
+
+        Configuration lastConfiguration = Configuration.NONE;
+        long lastDigest;
+    }
+
+    final Simulator simulator;
+    final ConsistencyChecker consistencyChecker;
+    final Simulator.Machine clients;
+    private final Simulator.Machine platform;
+    final ControlCluster controlCluster;
+    final ConfigurationClient configurationClient;
+    final ConfigurationChecker configurationChecker;
+    private final DataLossOperator dataLossOperator;
+    private final TreeMap<String, DataPlaneMachine> dataPlanes = new TreeMap<>();
+    private final Map<String, DatabaseCluster> databases = new TreeMap<>();
+    private final Map<String, long[]> highestFencingTokens = new HashMap<>();
+    private boolean platformUnresponsive;
+
+    /** Until then it answers 429 at once. */
+    private long platformBusyUntilMillis;
+
+    private int platformCalls;
+
+    /** Calls that come before are carried out only then. */
+    private long platformSlowUntilMillis;
+
+    private final List<ClientSession> sessions = new ArrayList<>();
+    private final long durationMillis;
+    int startedOperations;
+    int served;
+    private int replacementCount;
+
+    /** What happened, for whoever looks into a seed. */
+    public final List<String> eventLog = new ArrayList<>();
+
+    public SystemSimulation(
+            long seed,
+            int dataPlanesPerZone,
+            int services,
+            int sessionsPerService,
+            long totalMillis) {
+        this(seed, dataPlanesPerZone, services, sessionsPerService, totalMillis, ZONES.length);
+    }
+
+    /** With so many control machines. */
+    public SystemSimulation(
+            long seed,
+            int dataPlanesPerZone,
+            int services,
+            int sessionsPerService,
+            long totalMillis,
+            int controlMachines) {
+        simulator = new Simulator(seed);
+        consistencyChecker = new ConsistencyChecker(simulator);
+        durationMillis = totalMillis;
+        clients = simulator.new Machine("clients", "a", "10.9.0.1");
+        platform = simulator.new Machine("platform", "a", "10.9.0.2");
+        configurationClient =
+                new ConfigurationClient(this, simulator.new Machine("operator", "b", "10.9.0.3"));
+        configurationChecker = new ConfigurationChecker(this);
+        dataLossOperator =
+                new DataLossOperator(this, simulator.new Machine("person", "c", "10.9.0.4"));
+        consistencyChecker.onCommitsAbandoned =
+                (database, index) ->
+                        sessions.stream()
+                                .filter(s -> s.database.equals(database))
+                                .forEach(s -> s.lastWriteIndex = Math.min(s.lastWriteIndex, index));
+        controlCluster =
+                new ControlCluster(
+                        this,
+                        controlMachines,
+                        (machine, isFirstStart) -> settings(machine, true, isFirstStart));
+        platform.serveHttp(PLATFORM_PORT, this::handlePromotion);
+        for (int z = 0; z < ZONES.length; z++) {
+            for (int i = 0; i < dataPlanesPerZone; i++) {
+                DataPlaneMachine dataPlane = new DataPlaneMachine();
+                dataPlane.host =
+                        simulator
+                        .new Machine("front-" + ZONES[z] + i, ZONES[z], "10." + z + ".1." + i);
+                dataPlanes.put(ZONES[z] + i, dataPlane);
+            }
+        }
+        for (int s = 0; s < services; s++) {
+            DatabaseCluster database =
+                    new DatabaseCluster(
+                            simulator, "db" + s, 6, 60, 8, 300, true, consistencyChecker);
+            databases.put(database.name, database);
+            consistencyChecker.databases.put(database.name, database);
+            for (int z = 0; z < ZONES.length; z++) {
+                createServer(database, ZONES[(z + s) % ZONES.length], z, FIRST_DATABASE_PORT + s);
+            }
+            database.servers.get(0).isPrimary = true;
+            String[] consistencyLevels = {"primary", "bounded", "own"};
+            for (int i = 0; i < sessionsPerService; i++) {
+                String readConsistency = consistencyLevels[i % 3];
+                sessions.add(
+                        new ClientSession(
+                                this,
+                                sessions.size(),
+                                readConsistency,
+                                database.name,
+                                database.name + "-" + readConsistency,
+                                readConsistency.equals("bounded") ? 1_500 : 2_500));
+            }
+        }
+    }
+
+    boolean isEnding() {
+        return simulator.millis() > durationMillis - 3_000;
+    }
+
+    boolean hasEnded() {
+        return simulator.millis() >= durationMillis;
+    }
+
+    int databases() {
+        return databases.size();
+    }
+
+    Iterable<String> databaseNames() {
+        return databases.keySet();
+    }
+
+    String attemptId(String database, String completionTag) {
+        return databases.get(database).attemptByCompletionTag.get(completionTag);
+    }
+
+    // ---- database servers
+
+    private DatabaseCluster.Server createServer(
+            DatabaseCluster database, String zone, int index, int port) {
+        Simulator.Machine machine =
+                simulator
+                .new Machine(
+                        database.name + "-" + zone + index,
+                        zone,
+                        "10.8." + database.name.substring(2) + "." + (10 + index));
+        DatabaseCluster.Server server =
+                database.new Server(machine, database.name + "-" + zone + index, port);
+        server.onRoleChange = () -> sendHeartbeat(database, server, false, 0);
+        startHeartbeats(database, server);
+        return server;
+    }
+
+    private void startHeartbeats(DatabaseCluster database, DatabaseCluster.Server server) {
+        int incarnation = server.host.incarnation;
+        server.host.schedule(
+                simulator.random.nextInt((int) HEARTBEAT_INTERVAL_MILLIS),
+                new Runnable() {
+                    @Override
+                    public void run() {
+                        if (server.host.incarnation == incarnation
+                                && database.servers.contains(server)) {
+                            if (!server.heartbeatsStopped) {
+                                sendHeartbeat(database, server, false, 0);
+                            }
+                            server.host.schedule(HEARTBEAT_INTERVAL_MILLIS, this);
+                        }
+                    }
+                });
+    }
+
+    private long callSequence;
+
+    /** To one control machine after the other, until one answers. */
+    private void sendHeartbeat(
+            DatabaseCluster database,
+            DatabaseCluster.Server server,
+            boolean isLeaving,
+            int attempts) {
+        if (!server.host.up || attempts > 6) {
+            return;
+        }
+        boolean isDraining = server.draining || isLeaving;
+        String body = heartbeatBody(database, server);
+        send(
+                server,
+                (isLeaving ? "/Instances.Leave/" : "/Instances.Heartbeat/") + server.id,
+                body,
+                acknowledged -> {
+                    if (!acknowledged) {
+                        server.host.schedule(
+                                50L * (attempts + 1),
+                                () -> sendHeartbeat(database, server, isLeaving, attempts + 1));
+                    } else if (isDraining) {
+                        consistencyChecker.drainAcknowledgedMicros.putIfAbsent(
+                                server.id, simulator.micros());
+                    }
+                });
+    }
+
+    /** What it says of itself now. */
+    private String heartbeatBody(DatabaseCluster database, DatabaseCluster.Server server) {
+        return Json.object()
+                .add("service", database.name)
+                .add("address", server.address)
+                .add("zone_name", server.host.zone)
+                .add("state", server.draining ? "draining" : "ready")
+                .add("database_role", server.isPrimary ? "primary" : "replica")
+                .add("call_sequence", ++callSequence)
+                .toString();
+    }
+
+    private void send(
+            DatabaseCluster.Server server,
+            String path,
+            String body,
+            java.util.function.Consumer<Boolean> acknowledged) {
+        List<ControlMachine> machines = controlCluster.knownMachines();
+        ControlMachine target = machines.get(simulator.random.nextInt(machines.size()));
+        controlCluster
+                .call(server.host, "POST", target, path, Simulator.bytes(body), 1_000)
+                .whenComplete(
+                        (result, failure) ->
+                                acknowledged.accept(
+                                        failure == null && result.response().status() == 200));
+    }
+
+    private CompletableFuture<Environment.HttpResponse> handlePromotion(
+            String method, String path, byte[] body, Map<String, String> headers) {
+        if (platformUnresponsive) {
+            return new CompletableFuture<>();
+        }
+        platformCalls++;
+        if (simulator.millis() < platformBusyUntilMillis) {
+            return CompletableFuture.completedFuture(
+                    new Environment.HttpResponse(429, new byte[0]));
+        }
+        if (simulator.millis() < platformSlowUntilMillis) {
+            CompletableFuture<Environment.HttpResponse> delayed = new CompletableFuture<>();
+            simulator.scheduleAt(
+                    platformSlowUntilMillis * 1_000,
+                    () ->
+                            handlePromotion(method, path, body, headers)
+                                    .thenAccept(delayed::complete));
+            return delayed;
+        }
+        JsonObject request = Json.parse(Simulator.text(body)).asObject();
+        String service = request.getString("service", "");
+        long fencingToken = Long.parseLong(headers.getOrDefault("Dillfront-Fence-Number", "0"));
+        long[] highestToken = highestFencingTokens.computeIfAbsent(service, key -> new long[1]);
+        String leaseHolder = headers.getOrDefault("Dillfront-Duty-Holder", "");
+        configurationChecker.fencingTokenUsed(leaseHolder, fencingToken);
+        eventLog.add(
+                simulator.millis()
+                        + " platform: "
+                        + request.getString("instance_id", "")
+                        + " fence "
+                        + fencingToken);
+        if (fencingToken < highestToken[0]) {
+            return CompletableFuture.completedFuture(
+                    new Environment.HttpResponse(409, new byte[0]));
+        }
+        highestToken[0] = fencingToken;
+        boolean promoted = databases.get(service).promote(request.getString("instance_id", ""));
+        return CompletableFuture.completedFuture(
+                new Environment.HttpResponse(promoted ? 200 : 409, new byte[0]));
+    }
+
+    // ---- the system's machines
+
+    private NodeSettings settings(
+            Simulator.Machine machine, boolean isControl, boolean isFirstStart) {
+        Map<String, String> regions = new HashMap<>();
+        for (String zone : ZONES) {
+            regions.put(zone, "r" + zone);
+        }
+        return new NodeSettings(
+                machine.name,
+                machine.zone,
+                "r" + machine.zone,
+                regions,
+                machine.ip,
+                isControl ? null : machine.ip + ":" + DATA_PLANE_PORT,
+                isControl ? null : machine.ip + ":" + READINESS_PORT,
+                isControl ? machine.ip + ":" + ControlCluster.HTTP_PORT : null,
+                ControlCluster.PEER_PORT,
+                controlCluster.seeds(),
+                isFirstStart,
+                isControl ? "/" : null,
+                1,
+                HEARTBEAT_INTERVAL_MILLIS,
+                3_500,
+                6_000,
+                platform.ip + ":" + PLATFORM_PORT);
+    }
+
+    private void startDataPlane(DataPlaneMachine dataPlane, boolean isFirstStart) {
+        dataPlane.host.up();
+        dataPlane.stableFromMillis = simulator.millis();
+        DataPlaneNode node =
+                new DataPlaneNode(dataPlane.host, settings(dataPlane.host, false, isFirstStart));
+        dataPlane.node = node;
+        dataPlane.host.listen(DATA_PLANE_PORT, environment -> node.accept());
+        node.start();
+    }
+
+    /** Each front's configuration is looked at, over and over. */
+    private void checkDataPlanes() {
+        simulator.scheduleAfter(50, this::checkDataPlanes);
+        boolean stable = controlCluster.isStable();
+        for (DataPlaneMachine dataPlane : dataPlanes.values()) {
+            if (!dataPlane.host.up || dataPlane.node == null) {
+                continue;
+            }
+            boolean connected =
+                    stable
+                            && !dataPlane.host.paused()
+                            && simulator.millis() - dataPlane.stableFromMillis
+                                    >= ControlCluster.STABLE_AFTER_MILLIS;
+            for (ControlMachine control : controlCluster.machines()) {
+                connected &=
+                        !controlCluster.reachesMajority(control)
+                                || !simulator.cut(dataPlane.host, control.host);
+            }
+            Configuration current = dataPlane.node.configuration();
+            configurationChecker.checkDataPlane(
+                    dataPlane.host.name,
+                    dataPlane.host.incarnation,
+                    connected,
+                    current.revision(),
+                    current == dataPlane.lastConfiguration
+                            ? dataPlane.lastDigest
+                            : ConfigurationChecker.digest(current.body()));
+            if (current != dataPlane.lastConfiguration) {
+                dataPlane.lastConfiguration = current;
+                dataPlane.lastDigest = ConfigurationChecker.digest(current.body());
+            }
+        }
+    }
+
+    /** For a client: one of the fronts that are ready, by its number and by chance. */
+    Simulator.Machine dataPlane(int number) {
+        List<Simulator.Machine> ready = new ArrayList<>();
+        for (DataPlaneMachine candidate : dataPlanes.values()) {
+            if (candidate.host.up && candidate.node.isReady()) {
+                ready.add(candidate.host);
+            }
+        }
+        return ready.isEmpty()
+                ? null
+                : ready.get((number + simulator.random.nextInt(2)) % ready.size());
+    }
+
+    /** Once it is acknowledged: until every front that was in touch has it. */
+    void measureApply(long revision, long acknowledgedMillis) {
+        boolean appliedByAll = true;
+        for (DataPlaneMachine dataPlane : dataPlanes.values()) {
+            boolean expected =
+                    dataPlane.host.up
+                            && dataPlane.stableFromMillis
+                                    < acknowledgedMillis - ControlCluster.STABLE_AFTER_MILLIS;
+            appliedByAll &= !expected || dataPlane.node.configurationRevision() >= revision;
+        }
+        if (appliedByAll) {
+            consistencyChecker.configurationApplyMillis.add(
+                    simulator.millis() - acknowledgedMillis);
+        } else if (simulator.millis() - acknowledgedMillis < 20_000) {
+            simulator.scheduleAfter(
+                    simulator.millis() - acknowledgedMillis < 1_000 ? 5 : 100,
+                    () -> measureApply(revision, acknowledgedMillis));
+        }
+    }
+
+    // ---- what happens
+
+    void logEvent(String event) {
+        eventLog.add(simulator.millis() + " " + event);
+    }
+
+    private DatabaseCluster database(String name) {
+        DatabaseCluster database = databases.get(name);
+        if (database == null) {
+            throw new IllegalArgumentException("no database " + name);
+        }
+        return database;
+    }
+
+    private DatabaseCluster.Server select(DatabaseCluster database, String selector) {
+        DatabaseCluster.Server primary = database.primary();
+        if (selector.equals("primary")) {
+            return primary;
+        }
+        if (database.findServer(selector) != null) {
+            return database.findServer(selector);
+        }
+        List<DatabaseCluster.Server> replicas =
+                database.servers.stream()
+                        .filter(server -> server != primary && server.host.up)
+                        .toList();
+        return replicas.isEmpty()
+                ? null
+                : replicas.get(selector.equals("last") ? replicas.size() - 1 : 0);
+    }
+
+    /** A server is down for a while; dark, or with its connections reset. */
+    private void crash(
+            DatabaseCluster database,
+            DatabaseCluster.Server server,
+            boolean powerLoss,
+            long durationMillis) {
+        if (server == null) {
+            return;
+        }
+        logEvent(
+                (powerLoss ? "dark " : "crash ")
+                        + server.id
+                        + (server.isPrimary ? " (primary)" : ""));
+        if (server.isPrimary) {
+            consistencyChecker.primaryLost(database.name);
+        }
+        server.stop(powerLoss);
+        simulator.scheduleAfter(
+                durationMillis,
+                () -> {
+                    logEvent("back " + server.id);
+                    // It has its log and its address, and a new id.
+                    server.host.up();
+                    database.servers.remove(server);
+                    DatabaseCluster.Server restarted =
+                            database
+                            .new Server(
+                                    server.host,
+                                    server.id.replaceAll("r\\d*$", "") + "r" + ++replacementCount,
+                                    Integer.parseInt(
+                                            server.address.substring(
+                                                    server.address.indexOf(':') + 1)));
+                    restarted.log.addAll(server.log);
+                    restarted.appliedCount = server.appliedCount;
+                    restarted.term = server.term;
+                    restarted.isPrimary = server.isPrimary;
+                    restarted.onRoleChange = () -> sendHeartbeat(database, restarted, false, 0);
+                    DatabaseCluster.Server primary =
+                            database.servers.stream()
+                                    .filter(other -> other != restarted && other.isPrimary)
+                                    .findFirst()
+                                    .orElse(null);
+                    if (primary != null) {
+                        restarted.isPrimary = false;
+                        restarted.truncateLog(commonPrefixLength(restarted, primary));
+                    }
+                    startHeartbeats(database, restarted);
+                });
+    }
+
+    /**
+     * Gone for good, with its log; after a while a new, empty one comes at another address, or at
+     * the same.
+     */
+    private void removePermanently(
+            DatabaseCluster database, DatabaseCluster.Server server, boolean sameAddress) {
+        if (server == null) {
+            return;
+        }
+        logEvent("gone for good " + server.id + (server.isPrimary ? " (primary)" : ""));
+        if (server.isPrimary) {
+            consistencyChecker.primaryLost(database.name);
+        }
+        server.stop(true);
+        server.isPrimary = false;
+        database.servers.remove(server);
+        addReplacement(database, server, sameAddress, 2_000);
+    }
+
+    /** A new server with nothing, that copies what there is from the primary. */
+    private void addReplacement(
+            DatabaseCluster database,
+            DatabaseCluster.Server removed,
+            boolean sameAddress,
+            long delayMillis) {
+        simulator.scheduleAfter(
+                delayMillis,
+                () -> {
+                    int port =
+                            Integer.parseInt(
+                                    removed.address.substring(removed.address.indexOf(':') + 1));
+                    DatabaseCluster.Server replacement;
+                    if (sameAddress) {
+                        removed.host.up();
+                        replacement =
+                                database
+                                .new Server(
+                                        removed.host,
+                                        removed.id.replaceAll("r\\d*$", "")
+                                                + "r"
+                                                + ++replacementCount,
+                                        port);
+                        DatabaseCluster.Server restarted = replacement;
+                        replacement.onRoleChange =
+                                () -> sendHeartbeat(database, restarted, false, 0);
+                        startHeartbeats(database, replacement);
+                    } else {
+                        replacement =
+                                createServer(
+                                        database,
+                                        removed.host.zone,
+                                        100 + ++replacementCount,
+                                        port);
+                    }
+                    replacement.copiedAtMillis =
+                            simulator.millis() + 300 + simulator.random.nextInt(1_200);
+                    logEvent("new " + replacement.id);
+                });
+    }
+
+    /**
+     * The primary's machine does not reach the others of its kind, the control machines, or some of
+     * the fronts.
+     */
+    private void isolatePrimary(DatabaseCluster database, String peers, long durationMillis) {
+        DatabaseCluster.Server primary = database.primary();
+        if (primary == null) {
+            return;
+        }
+        logEvent("primary " + primary.id + " is cut off from " + peers);
+        List<Simulator.Machine> isolatedFrom = new ArrayList<>();
+        switch (peers) {
+            case "replicas" ->
+                    database.servers.stream()
+                            .filter(server -> server != primary)
+                            .forEach(server -> isolatedFrom.add(server.host));
+            case "core" ->
+                    controlCluster
+                            .machines()
+                            .forEach(controlMachine -> isolatedFrom.add(controlMachine.host));
+            default ->
+                    dataPlanes.values().stream()
+                            .filter(dataPlane -> simulator.random.nextDouble() < 0.4)
+                            .forEach(
+                                    dataPlane -> {
+                                        isolatedFrom.add(dataPlane.host);
+                                        dataPlane.stableFromMillis =
+                                                simulator.millis() + durationMillis;
+                                    });
+        }
+        isolatedFrom.forEach(machine -> simulator.cut(primary.host, machine, true));
+        simulator.scheduleAfter(
+                durationMillis,
+                () -> isolatedFrom.forEach(machine -> simulator.cut(primary.host, machine, false)));
+    }
+
+    private static int commonPrefixLength(DatabaseCluster.Server a, DatabaseCluster.Server b) {
+        int length = 0;
+        while (length < a.log.size()
+                && length < b.log.size()
+                && a.log.get(length) == b.log.get(length)) {
+            length++;
+        }
+        return length;
+    }
+
+    /**
+     * It drains, counts as a synchronous replica until it is gone, and takes its log along. A new
+     * one, empty, starts first at another address, or later at the same.
+     */
+    private void drainAndStop(
+            DatabaseCluster database,
+            DatabaseCluster.Server server,
+            boolean sameAddress,
+            long extraMillis,
+            boolean byLeaveMessage) {
+        if (server == null) {
+            return;
+        }
+        logEvent("release " + server.id + (byLeaveMessage ? " by its leave" : ""));
+        if (!sameAddress) {
+            addReplacement(database, server, false, 0);
+        }
+        simulator.scheduleAfter(
+                1_500,
+                () -> {
+                    if (byLeaveMessage) {
+                        // What it said before comes late, and its beats end.
+                        String delayedHeartbeat = heartbeatBody(database, server);
+                        server.heartbeatsStopped = true;
+                        sendHeartbeat(database, server, true, 0);
+                        server.host.schedule(
+                                3_000,
+                                () ->
+                                        send(
+                                                server,
+                                                "/Instances.Heartbeat/" + server.id,
+                                                delayedHeartbeat,
+                                                acknowledged -> {}));
+                    } else {
+                        server.draining = true;
+                        sendHeartbeat(database, server, false, 0);
+                    }
+                    simulator.scheduleAfter(
+                            7_500 + extraMillis,
+                            () -> {
+                                if (server.host.up && !byLeaveMessage) {
+                                    sendHeartbeat(database, server, true, 0);
+                                }
+                                simulator.scheduleAfter(
+                                        300,
+                                        () -> {
+                                            logEvent(
+                                                    "ended "
+                                                            + server.id
+                                                            + (server.isPrimary
+                                                                    ? " (primary)"
+                                                                    : ""));
+                                            if (server.isPrimary) {
+                                                consistencyChecker.primaryLost(database.name);
+                                            }
+                                            server.stop(false);
+                                            database.servers.remove(server);
+                                            server.isPrimary = false;
+                                            if (sameAddress) {
+                                                addReplacement(database, server, true, 2_000);
+                                            }
+                                        });
+                            });
+                });
+    }
+
+    /** Whoever runs is told of other seeds. */
+    void updateSeeds() {
+        dataPlanes.values().stream()
+                .filter(dataPlane -> dataPlane.host.up)
+                .forEach(
+                        dataPlane ->
+                                dataPlane.node.updateSettings(
+                                        settings(dataPlane.host, false, false)));
+    }
+
+    private void dataPlane(String machineKey, boolean powerLoss, long durationMillis) {
+        DataPlaneMachine candidate = dataPlanes.get(machineKey);
+        if (candidate == null || !candidate.host.up) {
+            return;
+        }
+        logEvent((powerLoss ? "power " : "kill ") + candidate.host.name);
+        candidate.host.down(powerLoss);
+        candidate.stableFromMillis = Long.MAX_VALUE / 2;
+        restartLater(candidate, durationMillis);
+    }
+
+    private void restartLater(DataPlaneMachine dataPlane, long delayMillis) {
+        simulator.scheduleAfter(
+                delayMillis,
+                () -> {
+                    if (!dataPlane.host.up) {
+                        startDataPlane(dataPlane, false);
+                    }
+                });
+    }
+
+    private void cutFor(String firstName, String secondName, long durationMillis) {
+        Simulator.Machine first = findMachine(firstName);
+        Simulator.Machine second = findMachine(secondName);
+        if (first == null || second == null) {
+            // It was replaced, and who comes for it is not there yet.
+            return;
+        }
+        logEvent("cut " + firstName + " " + secondName);
+        simulator.cut(first, second, true);
+        controlCluster.recordEvent();
+        for (DataPlaneMachine dataPlane : dataPlanes.values()) {
+            if (dataPlane.host == first || dataPlane.host == second) {
+                dataPlane.stableFromMillis = simulator.millis() + durationMillis;
+            }
+        }
+        simulator.scheduleAfter(
+                durationMillis,
+                () -> {
+                    simulator.cut(first, second, false);
+                    controlCluster.recordEvent();
+                });
+    }
+
+    private Simulator.Machine findMachine(String name) {
+        if (name.startsWith("core")
+                || name.equals("leader")
+                || name.equals("seed")
+                || name.equals("other")) {
+            ControlMachine controlMachine = controlCluster.find(name);
+            return controlMachine == null ? null : controlMachine.host;
+        }
+        return simulator.machines.stream()
+                .filter(machine -> machine.name.equals(name))
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException("no machine " + name));
+    }
+
+    private void restartAll(boolean powerLoss) {
+        logEvent(powerLoss ? "all lose power" : "all are killed");
+        controlCluster.failAll(powerLoss, null, 900);
+        dataPlanes.values().forEach(dataPlane -> dataPlane.host.down(powerLoss));
+        simulator.scheduleAfter(
+                900,
+                () ->
+                        dataPlanes.values().stream()
+                                .filter(dataPlane -> !dataPlane.host.up)
+                                .forEach(dataPlane -> startDataPlane(dataPlane, false)));
+    }
+
+    /**
+     * One thing that happens, as a line of a scenario says it.
+     *
+     * @throws IllegalArgumentException where the line is none
+     */
+    public void injectFault(String line) {
+        String[] args = line.trim().split("\\s+");
+        long millis =
+                args.length > 2 && args[args.length - 2].equals("for")
+                        ? Math.round(Double.parseDouble(args[args.length - 1]) * 1_000)
+                        : 3_000;
+        if (new ControlFaultInjector(this).inject(args, line, millis)) {
+            return;
+        }
+        switch (args[0]) {
+            case "crash":
+            case "dark":
+                {
+                    DatabaseCluster database = database(args[1]);
+                    crash(database, select(database, args[2]), args[0].equals("dark"), millis);
+                    break;
+                }
+            case "release":
+                {
+                    DatabaseCluster database = database(args[1]);
+                    drainAndStop(
+                            database,
+                            select(database, args[2]),
+                            line.contains(" same"),
+                            line.contains(" longer") ? millis : 0,
+                            line.contains(" by leave"));
+                    break;
+                }
+            case "lag":
+                database(args[1]).replicationLagMillis = 8 * Double.parseDouble(args[2]);
+                simulator.scheduleAfter(millis, () -> database(args[1]).replicationLagMillis = 8);
+                break;
+            case "promotes":
+                database(args[1]).promotionDelayMillis = Double.parseDouble(args[2]);
+                break;
+            case "lose":
+                {
+                    DatabaseCluster.Server server = select(database(args[1]), args[2]);
+                    if (server != null) {
+                        server.responseLossRate = 0.2;
+                        simulator.scheduleAfter(millis, () -> server.responseLossRate = 0);
+                    }
+                    break;
+                }
+            case "gone":
+                {
+                    DatabaseCluster database = database(args[1]);
+                    removePermanently(database, select(database, args[2]), line.contains(" same"));
+                    break;
+                }
+            case "deaf":
+                {
+                    DatabaseCluster.Server server = select(database(args[1]), args[2]);
+                    if (server != null) {
+                        logEvent("deaf " + server.id);
+                        server.replicationBlocked = true;
+                        simulator.scheduleAfter(millis, () -> server.replicationBlocked = false);
+                    }
+                    break;
+                }
+            case "primary_cut":
+                isolatePrimary(database(args[1]), args[2], millis);
+                break;
+            case "kill":
+            case "power":
+                dataPlane(args[1].substring(6), args[0].equals("power"), millis);
+                break;
+            case "reset":
+                {
+                    DataPlaneMachine target = dataPlanes.get(args[1].substring(6));
+                    logEvent("reset " + args[1]);
+                    target.stableFromMillis = Math.max(target.stableFromMillis, simulator.millis());
+                    target.host.resetConnections();
+                    break;
+                }
+            case "freeze":
+                {
+                    DataPlaneMachine target = dataPlanes.get(args[1].substring(6));
+                    logEvent("freeze " + args[1] + " for " + millis);
+                    target.host.pause(millis);
+                    target.stableFromMillis = simulator.millis() + millis;
+                    break;
+                }
+            case "cut":
+                cutFor(args[1], args[2], millis);
+                break;
+            case "leave":
+                {
+                    DataPlaneMachine target = dataPlanes.get(args[1].substring(6));
+                    logEvent("SIGTERM " + args[1]);
+                    target.stableFromMillis = Long.MAX_VALUE / 2;
+                    if (target.host.up) {
+                        target.node.shutDown(
+                                () -> {
+                                    target.host.down(false);
+                                    restartLater(target, 300);
+                                });
+                    }
+                    break;
+                }
+            case "platform":
+                if (args[1].equals("slow")) {
+                    platformSlowUntilMillis = simulator.millis() + millis;
+                    break;
+                }
+                if (args[1].equals("busy")) {
+                    platformBusyUntilMillis = simulator.millis() + millis;
+                    break;
+                }
+                platformUnresponsive = true;
+                simulator.scheduleAfter(millis, () -> platformUnresponsive = false);
+                break;
+            case "accept":
+                dataLossOperator.acceptLoss(
+                        database(args[1]).name,
+                        args.length > 2 && !args[2].equals("for") ? args[2] : "",
+                        millis);
+                break;
+            case "all":
+                restartAll(args[1].equals("power"));
+                break;
+            default:
+                throw new IllegalArgumentException("nothing happens by '" + line + "'");
+        }
+    }
+
+    /** Plays it; what happens was set by at() before. */
+    public void run() {
+        controlCluster.startAll();
+        dataPlanes
+                .values()
+                .forEach(
+                        dataPlane ->
+                                simulator.scheduleAfter(
+                                        simulator.random.nextDouble() * 300,
+                                        () -> startDataPlane(dataPlane, true)));
+        simulator.scheduleAfter(300, () -> configurationClient.submit(null, change -> {}));
+        configurationChecker.checkPeriodically();
+        checkDataPlanes();
+        simulator.runUntil(4_000);
+        sessions.forEach(ClientSession::start);
+        simulator.runUntil(durationMillis);
+        readFinalConfigurations();
+        consistencyChecker.checkFinalLogs();
+    }
+
+    /** The operator asks for the newest, over and over, at each. */
+    private void readFinalConfigurations() {
+        for (int i = 0; i < 8; i++) {
+            simulator.scheduleAfter(
+                    i * 500L,
+                    () ->
+                            controlCluster
+                                    .machines()
+                                    .forEach(machine -> configurationClient.read(machine, 1_000)));
+        }
+        simulator.runUntil(durationMillis + 6_000);
+        configurationChecker.checkFinalState();
+    }
+
+    public void scheduleFault(double seconds, String fault) {
+        simulator.scheduleAt(Math.round(seconds * 1e6), () -> injectFault(fault));
+    }
+
+    /** Some troubles by chance, alone and together, each over before the day is. */
+    public void addRandomFaults() {
+        var random = simulator.random.split();
+        int faultCount = 1 + random.nextInt(4);
+        double startSeconds = 6 + random.nextDouble() * 3;
+        boolean controlLost = false;
+        for (int i = 0; i < faultCount; i++) {
+            String database = "db" + random.nextInt(databases.size());
+            String zone = ZONES[random.nextInt(3)];
+            String dataPlane = "front-" + zone + random.nextInt(dataPlanes.size() / 3);
+            double durationSeconds = 2 + random.nextDouble() * 5;
+            String[] faults = {
+                "crash " + database + " primary for " + durationSeconds,
+                "dark " + database + " primary for " + durationSeconds,
+                "crash " + database + " replica for " + durationSeconds,
+                "dark " + database + " replica for " + durationSeconds,
+                "release " + database + " primary",
+                "release " + database + " replica",
+                "lag " + database + " 100 for " + durationSeconds,
+                "lose " + database + " primary for " + durationSeconds,
+                "kill " + dataPlane + " for 1",
+                "power " + dataPlane + " for " + durationSeconds,
+                "kill core-" + zone + " for 1",
+                "power core-" + zone + " for " + durationSeconds,
+                "wipe core-" + zone + " for " + durationSeconds,
+                "holder for " + durationSeconds,
+                "cut core-" + zone + " " + dataPlane + " for " + durationSeconds,
+                "leave " + dataPlane,
+                "configure",
+                "configure",
+                "all power",
+                "all killed",
+                "platform for " + durationSeconds,
+            };
+            double atSeconds = startSeconds + random.nextDouble() * (i == 0 ? 1 : 5);
+            String fault = faults[random.nextInt(faults.length)];
+            // One control machine may be lost at once, and it has to catch up before the next.
+            boolean affectsControl =
+                    fault.contains("core-")
+                            || fault.startsWith("holder")
+                            || fault.startsWith("all");
+            if (affectsControl && controlLost) {
+                fault = "configure";
+            }
+            controlLost |= affectsControl;
+            scheduleFault(atSeconds, fault);
+        }
+        scheduleFault(startSeconds + 7, "configure");
+    }
+
+    /**
+     * The worst days, by chance: all that may happen to control machines, one loss after the other,
+     * and much besides.
+     */
+    public void addWorstCaseFaults() {
+        new WorstCaseSchedule(this).plan();
+    }
+
+    public List<String> violations() {
+        return consistencyChecker.violations;
+    }
+
+    public double served() {
+        return startedOperations == 0 ? 0 : (double) served / startedOperations;
+    }
+
+    public int promotions() {
+        return consistencyChecker.promotions;
+    }
+
+    /** Calls that the platform answered, be it that it had too many. */
+    int platformCalls() {
+        return platformCalls;
+    }
+
+    /**
+     * Of each promotion: from the loss of the primary until the next was named, in milliseconds.
+     */
+    public List<Long> promotionMillis() {
+        return consistencyChecker.promotionMillis;
+    }
+
+    public List<Long> configurationApplyMillis() {
+        return consistencyChecker.configurationApplyMillis;
+    }
+
+    /** Acknowledged commits that a person gave up. */
+    public int acceptedLostCommits() {
+        return consistencyChecker.acceptedLostCommits;
+    }
+
+    public int lostCommits() {
+        return consistencyChecker.lostCommits;
+    }
+
+    public int duplicateCommits() {
+        return consistencyChecker.duplicateCommits;
+    }
+
+    public int staleReads() {
+        return consistencyChecker.staleReads;
+    }
+
+    /** What processes noted. */
+    public List<String> traceLog() {
+        return simulator.traceLog;
+    }
+
+    /** Servers that were told to stop receiving and never to go on. */
+    public List<String> serversWithPausedReplication() {
+        return databases.values().stream()
+                .flatMap(database -> database.servers.stream())
+                .filter(server -> server.host.up && server.pausedForTerm != 0)
+                .map(server -> server.id)
+                .toList();
+    }
+
+    public ControlCounts controlCounts() {
+        return new ControlCounts(consistencyChecker, configurationChecker);
+    }
+
+    /** The state of all processes, for whoever looks into a seed. */
+    public List<String> status() {
+        List<String> lines = controlCluster.status();
+        dataPlanes
+                .values()
+                .forEach(
+                        dataPlane ->
+                                lines.add(dataPlane.host.name + " " + dataPlane.node.status()));
+        return lines;
+    }
+}
--- a/src/main/java/dillfront/simulation/system/package-info.java
+++ b/src/main/java/dillfront/simulation/system/package-info.java
@@ -1,2 +1,5 @@
-/** The whole system in simulated time. Begin with {@link dillfront.simulation.system.Day}. */
+/**
+ * The whole system in simulated time. Begin with {@link
+ * dillfront.simulation.system.SystemSimulation}.
+ */
 package dillfront.simulation.system;
--- a/src/test/java/dillfront/benchmark/IdentityTest.java
+++ b/src/test/java/dillfront/benchmark/IdentityTest.java
@@ -16,7 +16,7 @@
 import dillfront.common.logging.Log;
 import dillfront.router.RouterServer;
 import dillfront.router.config.RouterConfig;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -56,28 +56,28 @@
     @TempDir Path folder;
 
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final List<Socket> open = new ArrayList<>();
-    private StandIns round;
+    private final List<Socket> openSockets = new ArrayList<>();
+    private StubBackends backends;
     private RouterServer daemon;
     private int port;
-    private SSLContext trust;
-    private ECKey first;
-    private ECKey second;
+    private SSLContext clientContext;
+    private ECKey firstKey;
+    private ECKey secondKey;
 
     @BeforeEach
     void start() throws Exception {
-        certificate();
-        first =
+        createCertificate();
+        firstKey =
                 new ECKeyGenerator(Curve.P_256)
                         .keyID("k1")
                         .algorithm(JWSAlgorithm.ES256)
                         .generate();
-        second =
+        secondKey =
                 new ECKeyGenerator(Curve.P_256)
                         .keyID("k2")
                         .algorithm(JWSAlgorithm.ES256)
                         .generate();
-        keys(first);
+        writeKeySet(firstKey);
         Files.writeString(folder.resolve("revoked.txt"), "# none yet\n");
         Path file = folder.resolve("operator.star");
         Files.writeString(
@@ -93,25 +93,26 @@
                 principal("tablet-7", roles = ["reader", "poster"], at_once = 2)
                 """
                         .formatted(folder));
-        round = new StandIns(250_000);
-        port = Drive.freePort();
+        backends = new StubBackends(250_000);
+        port = RouterProcess.freePort();
         daemon =
                 new RouterServer(
                         RouterConfig.read(
                                 new ByteArrayInputStream(
-                                        round.config(port, 1.0).getBytes(StandardCharsets.UTF_8))),
-                        Operator.read(file),
+                                        backends.config(port, 1.0)
+                                                .getBytes(StandardCharsets.UTF_8))),
+                        OperatorConfig.read(file),
                         new Log(new PrintStream(log, true)));
         daemon.start();
     }
 
     @AfterEach
     void stop() throws Exception {
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             socket.close();
         }
         daemon.stop();
-        round.close();
+        backends.close();
         assertTrue(!logged().contains("client-connection"), logged());
     }
 
@@ -120,7 +121,7 @@
     }
 
     /** Made by the JDK's own tool, and trusted by the clients of this test. */
-    private void certificate() throws Exception {
+    private void createCertificate() throws Exception {
         Path store = folder.resolve("door.p12");
         assertEquals(
                 0,
@@ -149,50 +150,55 @@
                         .start()
                         .waitFor());
         KeyStore keys = KeyStore.getInstance(store.toFile(), PASSWORD.toCharArray());
-        pem("door.pem", "CERTIFICATE", keys.getCertificate("door").getEncoded());
-        pem("door.key", "PRIVATE KEY", keys.getKey("door", PASSWORD.toCharArray()).getEncoded());
+        writePem("door.pem", "CERTIFICATE", keys.getCertificate("door").getEncoded());
+        writePem(
+                "door.key",
+                "PRIVATE KEY",
+                keys.getKey("door", PASSWORD.toCharArray()).getEncoded());
         KeyStore trusted = KeyStore.getInstance(KeyStore.getDefaultType());
         trusted.load(null, null);
         trusted.setCertificateEntry("door", keys.getCertificate("door"));
         TrustManagerFactory factory =
                 TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
         factory.init(trusted);
-        trust = SSLContext.getInstance("TLS");
-        trust.init(null, factory.getTrustManagers(), null);
+        clientContext = SSLContext.getInstance("TLS");
+        clientContext.init(null, factory.getTrustManagers(), null);
     }
 
-    private void pem(String name, String what, byte[] bytes) throws IOException {
+    private void writePem(String name, String type, byte[] bytes) throws IOException {
         Files.writeString(
                 folder.resolve(name),
                 "-----BEGIN "
-                        + what
+                        + type
                         + "-----\n"
                         + Base64.getMimeEncoder(64, new byte[] {'\n'}).encodeToString(bytes)
                         + "\n-----END "
-                        + what
+                        + type
                         + "-----\n");
     }
 
-    private void keys(JWK... keys) throws IOException {
-        List<JWK> open = new ArrayList<>();
+    private void writeKeySet(JWK... keys) throws IOException {
+        List<JWK> publicKeys = new ArrayList<>();
         for (JWK key : keys) {
-            open.add(key.toPublicJWK());
+            publicKeys.add(key.toPublicJWK());
         }
-        Files.writeString(folder.resolve("keys.json"), new JWKSet(open).toString());
+        Files.writeString(folder.resolve("keys.json"), new JWKSet(publicKeys).toString());
     }
 
-    private static String token(ECKey by, String who, String id) throws Exception {
+    private static String token(ECKey signingKey, String subject, String tokenId) throws Exception {
         SignedJWT jwt =
                 new SignedJWT(
-                        new JWSHeader.Builder(JWSAlgorithm.ES256).keyID(by.getKeyID()).build(),
+                        new JWSHeader.Builder(JWSAlgorithm.ES256)
+                                .keyID(signingKey.getKeyID())
+                                .build(),
                         new JWTClaimsSet.Builder()
-                                .subject(who)
+                                .subject(subject)
                                 .issuer("depot")
                                 .audience("dillfront")
-                                .jwtID(id)
+                                .jwtID(tokenId)
                                 .expirationTime(new Date(System.currentTimeMillis() + 3_600_000))
                                 .build());
-        jwt.sign(new ECDSASigner(by));
+        jwt.sign(new ECDSASigner(signingKey));
         return jwt.serialize();
     }
 
@@ -200,7 +206,7 @@
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setTcpNoDelay(true);
         socket.setSoTimeout(5000);
-        open.add(socket);
+        openSockets.add(socket);
         return socket;
     }
 
@@ -216,9 +222,10 @@
         Socket plain = connect();
         write(plain, sslRequest());
         assertEquals('S', plain.getInputStream().read());
-        Socket secure = trust.getSocketFactory().createSocket(plain, "localhost", port, true);
+        Socket secure =
+                clientContext.getSocketFactory().createSocket(plain, "localhost", port, true);
         secure.setSoTimeout(5000);
-        open.add(secure);
+        openSockets.add(secure);
         return secure;
     }
 
@@ -226,32 +233,32 @@
      * Up to what tells that the router waits: R with a question, Z, or the end. Only errors' codes
      * and types are kept.
      */
-    private static String hear(Socket socket) throws IOException {
+    private static String receive(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
-        StringBuilder heard = new StringBuilder();
+        StringBuilder summary = new StringBuilder();
         while (true) {
             int type = in.read();
             if (type < 0) {
-                return heard.append("end").toString();
+                return summary.append("end").toString();
             }
             byte[] body = in.readNBytes(in.readInt() - 4);
             if (type == 'E') {
                 String text = new String(body, StandardCharsets.US_ASCII);
-                heard.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7).append(' ');
+                summary.append(text, text.indexOf("\0C") + 2, text.indexOf("\0C") + 7).append(' ');
             } else if (type == 'D') {
-                heard.append("row ");
+                summary.append("row ");
             } else if (type == 'R' && body[3] != 0) {
-                return heard.append("password?").toString();
+                return summary.append("password?").toString();
             } else if (type == 'Z') {
-                return heard.append("ready").toString();
+                return summary.append("ready").toString();
             }
         }
     }
 
-    private Socket in(String user, String token) throws IOException {
+    private Socket sendCredentials(String user, String token) throws IOException {
         Socket socket = tls();
         write(socket, Messages.startup(Unpooled.buffer(), user, "catalog"));
-        assertEquals("password?", hear(socket));
+        assertEquals("password?", receive(socket));
         write(
                 socket,
                 Unpooled.buffer()
@@ -262,13 +269,13 @@
         return socket;
     }
 
-    private Socket ready(String user, String token) throws IOException {
-        Socket socket = in(user, token);
-        assertEquals("ready", hear(socket));
+    private Socket logIn(String user, String token) throws IOException {
+        Socket socket = sendCredentials(user, token);
+        assertEquals("ready", receive(socket));
         return socket;
     }
 
-    private static void say(Socket socket, String type, String key) throws IOException {
+    private static void send(Socket socket, String type, String key) throws IOException {
         String comment =
                 " /* id="
                         + Integer.toHexString(0x7000000 + IDS.incrementAndGet())
@@ -287,40 +294,40 @@
                                 : "SELECT body FROM objects WHERE oid = '" + key + "'" + comment));
     }
 
-    private static String ask(Socket socket, String type, String key) throws IOException {
-        say(socket, type, key);
-        return hear(socket);
+    private static String request(Socket socket, String type, String key) throws IOException {
+        send(socket, type, key);
+        return receive(socket);
     }
 
-    private int reached() {
-        int sum = 0;
-        for (int i = 0; i < StandIns.GROUPS * StandIns.MEMBERS; i++) {
-            sum += round.arrivals(i).size();
+    private int statementsReceived() {
+        int total = 0;
+        for (int i = 0; i < StubBackends.GROUPS * StubBackends.NODES_PER_GROUP; i++) {
+            total += backends.arrivals(i).size();
         }
-        return sum;
+        return total;
     }
 
-    private void untilLogged(String part) throws Exception {
-        untilLogged(part, 1);
+    private void awaitLogged(String text) throws Exception {
+        awaitLogged(text, 1);
     }
 
-    private int timesLogged(String part) {
-        return logged().split(Pattern.quote(part), -1).length - 1;
+    private int countLogged(String text) {
+        return logged().split(Pattern.quote(text), -1).length - 1;
     }
 
-    private void untilLogged(String part, int times) throws Exception {
-        for (long end = System.nanoTime() + 20_000_000_000L;
-                timesLogged(part) < times && System.nanoTime() < end; ) {
+    private void awaitLogged(String text, int count) throws Exception {
+        for (long deadline = System.nanoTime() + 20_000_000_000L;
+                countLogged(text) < count && System.nanoTime() < deadline; ) {
             Thread.sleep(5);
         }
-        assertTrue(timesLogged(part) >= times, logged());
+        assertTrue(countLogged(text) >= count, logged());
     }
 
     @Test
-    void onlyWhatIsAllowedReachesANode() throws Exception {
-        Socket billing = ready("billing-7", token(first, "billing-7", "t-1"));
-        assertEquals("row ready", ask(billing, "history", "9-hotel-7/june"));
-        assertEquals(1, reached());
+    void forwardsOnlyAllowedStatements() throws Exception {
+        Socket billing = logIn("billing-7", token(firstKey, "billing-7", "t-1"));
+        assertEquals("row ready", request(billing, "history", "9-hotel-7/june"));
+        assertEquals(1, statementsReceived());
         for (String key :
                 List.of(
                         "9-hotel-70/june",
@@ -328,12 +335,12 @@
                         "9-hotel-8/june",
                         "9-hotel-7/safe/1",
                         "8-hotel-7/june")) {
-            assertEquals("42501 ready", ask(billing, "history", key), key);
+            assertEquals("42501 ready", request(billing, "history", key), key);
         }
-        assertEquals("42501 ready", ask(billing, "post-movement", "9-hotel-7/june"), "a write");
+        assertEquals("42501 ready", request(billing, "post-movement", "9-hotel-7/june"), "a write");
         assertEquals(
-                "42501 ready", ask(billing, "balance-check", "9-hotel-7/june"), "another type");
-        assertEquals("42501 ready", ask(billing, "no-such", "9-hotel-7/june"));
+                "42501 ready", request(billing, "balance-check", "9-hotel-7/june"), "another type");
+        assertEquals("42501 ready", request(billing, "no-such", "9-hotel-7/june"));
         // A write under the name of a read's type.
         write(
                 billing,
@@ -341,130 +348,140 @@
                         Unpooled.buffer(256),
                         "INSERT INTO objects (oid, body) VALUES ('9-hotel-7/x', '\\x9f') RETURNING "
                                 + "body /* id=77aa,c=history,d=700,cluster=0 */"));
-        assertEquals("42501 ready", hear(billing));
-        assertEquals(1, reached(), "none of these reached a node");
-        untilLogged(
+        assertEquals("42501 ready", receive(billing));
+        assertEquals(1, statementsReceived(), "none of these reached a node");
+        awaitLogged(
                 "denied who=billing-7 why=NO_RIGHT type=history write=false group=0 rule="
                         + folder.resolve("operator.star")
                         + ":5");
-        Socket tablet = ready("tablet-7", token(first, "tablet-7", "t-2"));
-        assertEquals("row ready", ask(tablet, "post-movement", "9-hotel-7/june"));
+        Socket tablet = logIn("tablet-7", token(firstKey, "tablet-7", "t-2"));
+        assertEquals("row ready", request(tablet, "post-movement", "9-hotel-7/june"));
     }
 
     @Test
-    void whoIsNotKnownIsNotLetIn() throws Exception {
+    void rejectsUnauthenticatedClients() throws Exception {
         Socket plain = connect();
         write(plain, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
-        assertEquals("28000 end", hear(plain), "in the clear");
-        Socket stuffed = connect();
-        ByteBuf both = sslRequest();
-        both.writeBytes(Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
-        write(stuffed, both);
-        assertEquals("08P01 end", hear(stuffed), "bytes behind the request");
-        assertEquals("28000 end", hear(in("billing-7", "nonsense")));
+        assertEquals("28000 end", receive(plain), "in the clear");
+        Socket pipelined = connect();
+        ByteBuf pipelinedBytes = sslRequest();
+        pipelinedBytes.writeBytes(Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
+        write(pipelined, pipelinedBytes);
+        assertEquals("08P01 end", receive(pipelined), "bytes behind the request");
+        assertEquals("28000 end", receive(sendCredentials("billing-7", "nonsense")));
         assertEquals(
                 "28000 end",
-                hear(in("billing-7", token(second, "billing-7", "t-1"))),
+                receive(sendCredentials("billing-7", token(secondKey, "billing-7", "t-1"))),
                 "a key of nobody");
         assertEquals(
                 "28000 end",
-                hear(in("tablet-7", token(first, "billing-7", "t-1"))),
+                receive(sendCredentials("tablet-7", token(firstKey, "billing-7", "t-1"))),
                 "another's token");
         assertEquals(
-                "28000 end", hear(in("guest", token(first, "guest", "t-1"))), "no such principal");
+                "28000 end",
+                receive(sendCredentials("guest", token(firstKey, "guest", "t-1"))),
+                "no such principal");
         Socket early = tls();
         write(early, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
-        assertEquals("password?", hear(early));
-        say(early, "history", "9-hotel-7/june");
-        assertEquals("08P01 end", hear(early), "a query before the proof");
-        assertEquals(0, reached());
+        assertEquals("password?", receive(early));
+        send(early, "history", "9-hotel-7/june");
+        assertEquals("08P01 end", receive(early), "a query before the proof");
+        assertEquals(0, statementsReceived());
     }
 
     @Test
-    void guessingIsSlowed() throws Exception {
+    void limitsRateOfFailedLogins() throws Exception {
         for (int i = 0; i < 4; i++) {
-            assertEquals("28000 end", hear(in("billing-7", "guess-" + i)));
+            assertEquals("28000 end", receive(sendCredentials("billing-7", "guess-" + i)));
         }
-        Socket next = tls();
-        write(next, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
-        assertEquals("28000 end", hear(next), "not even asked");
-        ready("tablet-7", token(first, "tablet-7", "t-2"));
+        Socket limited = tls();
+        write(limited, Messages.startup(Unpooled.buffer(), "billing-7", "catalog"));
+        assertEquals("28000 end", receive(limited), "not even asked");
+        logIn("tablet-7", token(firstKey, "tablet-7", "t-2"));
     }
 
     @Test
-    void aRevocationStopsNewTxnsAndNoneThatWasTaken() throws Exception {
-        Socket tablet = ready("tablet-7", token(first, "tablet-7", "t-5"));
-        Socket other = ready("tablet-7", token(first, "tablet-7", "t-6"));
-        Socket idle = ready("tablet-7", token(first, "tablet-7", "t-5"));
-        say(tablet, "post-movement", "9-hotel-7/june");
-        while (reached() == 0) {
+    void revocationRejectsOnlyNewTransactions() throws Exception {
+        Socket tablet = logIn("tablet-7", token(firstKey, "tablet-7", "t-5"));
+        Socket other = logIn("tablet-7", token(firstKey, "tablet-7", "t-6"));
+        Socket idle = logIn("tablet-7", token(firstKey, "tablet-7", "t-5"));
+        send(tablet, "post-movement", "9-hotel-7/june");
+        while (statementsReceived() == 0) {
             Thread.sleep(1);
         }
         Files.writeString(folder.resolve("revoked.txt"), "t-5\n");
-        long began = System.nanoTime();
-        assertEquals("row ready", hear(tablet), "its one final answer");
-        assertEquals("28000 end", hear(idle), "told and ended");
-        assertTrue(System.nanoTime() - began < 1_000_000_000L);
-        assertEquals("28000 end", ask(tablet, "history", "9-hotel-7/june"));
-        assertEquals("row ready", ask(other, "history", "9-hotel-7/june"));
-        assertEquals("28000 end", hear(in("tablet-7", token(first, "tablet-7", "t-5"))));
-        assertEquals(2, reached());
+        long revokedNanos = System.nanoTime();
+        assertEquals("row ready", receive(tablet), "its one final answer");
+        assertEquals("28000 end", receive(idle), "told and ended");
+        assertTrue(System.nanoTime() - revokedNanos < 1_000_000_000L);
+        assertEquals("28000 end", request(tablet, "history", "9-hotel-7/june"));
+        assertEquals("row ready", request(other, "history", "9-hotel-7/june"));
+        assertEquals(
+                "28000 end",
+                receive(sendCredentials("tablet-7", token(firstKey, "tablet-7", "t-5"))));
+        assertEquals(2, statementsReceived());
     }
 
     @Test
-    void keysChangeUnderOpenSessions() throws Exception {
-        Socket old = ready("billing-7", token(first, "billing-7", "t-1"));
-        keys(first, second);
-        untilLogged("identity-read");
-        Socket young = ready("billing-7", token(second, "billing-7", "t-2"));
-        keys(second);
-        untilLogged("keys=[k2]");
-        long ended = System.nanoTime();
-        int good = 0;
-        while (System.nanoTime() - ended < 1_500_000_000L) {
-            assertEquals("row ready", ask(old, "history", "9-hotel-7/june"), "within the overlap");
-            good++;
+    void retiresRemovedKeyAfterOverlap() throws Exception {
+        Socket oldKeySession = logIn("billing-7", token(firstKey, "billing-7", "t-1"));
+        writeKeySet(firstKey, secondKey);
+        awaitLogged("identity-read");
+        Socket newKeySession = logIn("billing-7", token(secondKey, "billing-7", "t-2"));
+        writeKeySet(secondKey);
+        awaitLogged("keys=[k2]");
+        long removedNanos = System.nanoTime();
+        int served = 0;
+        while (System.nanoTime() - removedNanos < 1_500_000_000L) {
+            assertEquals(
+                    "row ready",
+                    request(oldKeySession, "history", "9-hotel-7/june"),
+                    "within the overlap");
+            served++;
         }
-        assertTrue(good > 2);
-        assertEquals("28000 end", hear(old));
-        assertEquals("row ready", ask(young, "history", "9-hotel-7/june"));
+        assertTrue(served > 2);
+        assertEquals("28000 end", receive(oldKeySession));
+        assertEquals("row ready", request(newKeySession, "history", "9-hotel-7/june"));
     }
 
     @Test
-    void aFileThatIsNoFileChangesNothing() throws Exception {
-        Socket billing = ready("billing-7", token(first, "billing-7", "t-1"));
-        String whole = Files.readString(folder.resolve("keys.json"));
-        for (String bad : List.of(whole.substring(0, whole.length() / 2), "{\"keys\":[]}", "")) {
+    void keepsPolicyWhenKeyFileIsInvalid() throws Exception {
+        Socket billing = logIn("billing-7", token(firstKey, "billing-7", "t-1"));
+        String keySet = Files.readString(folder.resolve("keys.json"));
+        for (String invalid :
+                List.of(keySet.substring(0, keySet.length() / 2), "{\"keys\":[]}", "")) {
             // Each is wrong in another way than the one before, which is told anew.
-            int before = timesLogged("identity-unreadable");
-            Files.writeString(folder.resolve("keys.json"), bad);
-            untilLogged("identity-unreadable", before + 1);
-            assertEquals("row ready", ask(billing, "history", "9-hotel-7/june"));
-            ready("billing-7", token(first, "billing-7", "t-2"));
-            assertEquals("28000 end", hear(in("billing-7", token(second, "billing-7", "t-3"))));
+            int loggedBefore = countLogged("identity-unreadable");
+            Files.writeString(folder.resolve("keys.json"), invalid);
+            awaitLogged("identity-unreadable", loggedBefore + 1);
+            assertEquals("row ready", request(billing, "history", "9-hotel-7/june"));
+            logIn("billing-7", token(firstKey, "billing-7", "t-2"));
+            assertEquals(
+                    "28000 end",
+                    receive(sendCredentials("billing-7", token(secondKey, "billing-7", "t-3"))));
         }
-        int before = timesLogged("identity-unreadable");
+        int loggedBefore = countLogged("identity-unreadable");
         Files.delete(folder.resolve("keys.json"));
-        untilLogged("identity-unreadable", before + 1);
-        assertEquals("row ready", ask(billing, "history", "9-hotel-7/june"));
+        awaitLogged("identity-unreadable", loggedBefore + 1);
+        assertEquals("row ready", request(billing, "history", "9-hotel-7/june"));
         log.reset();
-        keys(first);
-        untilLogged("identity-read");
+        writeKeySet(firstKey);
+        awaitLogged("identity-read");
     }
 
     @Test
-    void handshakesThatStopHalfway() throws Exception {
-        Socket billing = ready("billing-7", token(first, "billing-7", "t-1"));
+    void servesClientsDespiteStalledHandshakes() throws Exception {
+        Socket billing = logIn("billing-7", token(firstKey, "billing-7", "t-1"));
         for (int i = 0; i < 100; i++) {
-            Socket half = connect();
-            write(half, sslRequest());
+            Socket stalled = connect();
+            write(stalled, sslRequest());
             if (i % 2 == 0) {
-                half.getOutputStream().write(new byte[] {22, 3, 1, 0, 50, 1});
+                stalled.getOutputStream().write(new byte[] {22, 3, 1, 0, 50, 1});
             } else {
-                half.getOutputStream()
+                stalled.getOutputStream()
                         .write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             }
         }
-        assertEquals("row ready", ask(billing, "history", "9-hotel-7/june"));
+        assertEquals("row ready", request(billing, "history", "9-hotel-7/june"));
     }
 }
--- a/src/test/java/dillfront/benchmark/CountsTest.java
+++ b/src/test/java/dillfront/benchmark/TransactionCostTest.java
@@ -10,12 +10,12 @@
  * Holds what a txn costs on the ordinary path; fails when someone adds a copy, a buffer or a system
  * call.
  */
-class CountsTest {
+class TransactionCostTest {
 
     /**
      * What was counted when this was last lowered, and how much the beats among the txns may add.
      */
-    private static final Map<String, double[]> HELD =
+    private static final Map<String, double[]> LIMITS =
             Map.of(
                     "allocated",
                     new double[] {5160, 0.06},
@@ -37,18 +37,18 @@
                     new double[] {2.12, 0.15});
 
     @Test
-    void aTxnCostsNoMoreThanItDid() throws Exception {
-        String line = Cost.counts(System.getProperty("java.class.path"));
+    void transactionCostStaysWithinLimits() throws Exception {
+        String line = RouterCostBenchmark.runCounter(System.getProperty("java.class.path"));
         Map<String, Double> counted = new HashMap<>();
         for (String figure : line.split(" ")) {
             counted.put(
                     figure.substring(0, figure.indexOf('=')),
                     Double.parseDouble(figure.substring(figure.indexOf('=') + 1)));
         }
-        HELD.forEach(
-                (name, most) ->
+        LIMITS.forEach(
+                (name, limit) ->
                         assertTrue(
-                                counted.get(name) <= most[0] * (1 + most[1]),
-                                name + " was " + most[0] + " a txn, and has grown: " + line));
+                                counted.get(name) <= limit[0] * (1 + limit[1]),
+                                name + " was " + limit[0] + " a txn, and has grown: " + line));
     }
 }
--- a/src/test/java/dillfront/bootstrap/ControlProcess.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcess.java
@@ -23,44 +23,45 @@
 final class ControlProcess {
 
     /** What came back: 0 where no whole answer did. */
-    record Answer(int status, String body) {}
+    record Response(int status, String body) {}
 
-    private static final Answer NONE = new Answer(0, "");
-    private static final Set<Integer> GIVEN = new HashSet<>();
+    private static final Response NONE = new Response(0, "");
+    private static final Set<Integer> ALLOCATED_PORTS = new HashSet<>();
 
     final String ip;
     private final Path folder;
-    private final int control;
-    private final int inner;
-    private final String platform;
+    private final int controlPort;
+    private final int internalPort;
+    private final String platformAddress;
     private Process process;
     private int starts;
 
-    ControlProcess(String ip, Path folder, int[] ports, String platform) {
+    ControlProcess(String ip, Path folder, int[] ports, String platformAddress) {
         this.ip = ip;
         this.folder = folder.resolve(ip);
-        control = ports[0];
-        inner = ports[1];
-        this.platform = platform;
+        controlPort = ports[0];
+        internalPort = ports[1];
+        this.platformAddress = platformAddress;
     }
 
     /** Two ports that are free, and that no other test was given: some run beside each other. */
-    static synchronized int[] ports() throws IOException {
+    static synchronized int[] allocatePorts() throws IOException {
         while (true) {
-            try (ServerSocket one = new ServerSocket(0, 1, InetAddress.getByName("127.0.77.1"));
-                    ServerSocket two =
+            try (ServerSocket first = new ServerSocket(0, 1, InetAddress.getByName("127.0.77.1"));
+                    ServerSocket second =
                             new ServerSocket(0, 1, InetAddress.getByName("127.0.77.1"))) {
-                if (GIVEN.add(one.getLocalPort()) & GIVEN.add(two.getLocalPort())) {
-                    return new int[] {one.getLocalPort(), two.getLocalPort()};
+                if (ALLOCATED_PORTS.add(first.getLocalPort())
+                        & ALLOCATED_PORTS.add(second.getLocalPort())) {
+                    return new int[] {first.getLocalPort(), second.getLocalPort()};
                 }
             }
         }
     }
 
-    void start(boolean first, List<ControlProcess> seeds) throws IOException {
+    void start(boolean firstStart, List<ControlProcess> seeds) throws IOException {
         Files.createDirectories(folder.resolve("data"));
-        JsonArray all = Json.array().asArray();
-        seeds.forEach(seed -> all.add(seed.ip + ":" + control));
+        JsonArray seedAddresses = Json.array().asArray();
+        seeds.forEach(seed -> seedAddresses.add(seed.ip + ":" + controlPort));
         JsonObject settings =
                 Json.object()
                         .add("node_name", "core-" + ip)
@@ -70,15 +71,15 @@
                         .add("zones", Json.object().add(ip, "r"))
                         .add(
                                 "listen_addresses",
-                                Json.object().add("control_address", ip + ":" + control))
-                        .add("internal_port_range", Json.array(inner, inner + 9))
-                        .add("seed_addresses", all)
-                        .add("first_start", first)
+                                Json.object().add("control_address", ip + ":" + controlPort))
+                        .add("internal_port_range", Json.array(internalPort, internalPort + 9))
+                        .add("seed_addresses", seedAddresses)
+                        .add("first_start", firstStart)
                         .add("data_directory", folder.resolve("data").toString())
                         .add("tolerated_losses", Json.object().add("machines", 1))
                         .add("heartbeat_interval_ms", 300)
                         .add("bounds", Json.object())
-                        .add("cloud_api", Json.object().add("address", platform));
+                        .add("cloud_api", Json.object().add("address", platformAddress));
         Path file = folder.resolve("node.json");
         Files.writeString(file, settings.toString());
         ProcessBuilder builder =
@@ -104,7 +105,8 @@
      */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
-        for (long end = System.nanoTime() + 10_000_000_000L; name.equals("STOP") && !stopped(); ) {
+        for (long end = System.nanoTime() + 10_000_000_000L;
+                name.equals("STOP") && !isStopped(); ) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("it does not stop");
             }
@@ -112,12 +114,12 @@
         }
     }
 
-    private boolean stopped() throws IOException {
+    private boolean isStopped() throws IOException {
         try (Stream<Path> threads = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path thread : threads.toList()) {
-                String is = Files.readString(thread.resolve("stat"));
+                String stat = Files.readString(thread.resolve("stat"));
                 // Behind the name, which may hold anything: the state.
-                if (is.charAt(is.lastIndexOf(')') + 2) != 'T') {
+                if (stat.charAt(stat.lastIndexOf(')') + 2) != 'T') {
                     return false;
                 }
             }
@@ -125,7 +127,7 @@
         return true;
     }
 
-    boolean runs() {
+    boolean isRunning() {
         return process != null && process.isAlive();
     }
 
@@ -137,10 +139,10 @@
     }
 
     /** Its disk is lost. */
-    void empty() throws IOException {
-        try (Stream<Path> all = Files.walk(folder.resolve("data"))) {
-            for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(one);
+    void deleteData() throws IOException {
+        try (Stream<Path> files = Files.walk(folder.resolve("data"))) {
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(file);
             }
         }
     }
@@ -148,12 +150,12 @@
     Socket connect() throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(new InetSocketAddress(InetAddress.getByName(ip), control), 1_000);
+            socket.connect(new InetSocketAddress(InetAddress.getByName(ip), controlPort), 1_000);
             socket.setSoTimeout(2_500);
             return socket;
-        } catch (IOException refused) {
+        } catch (IOException e) {
             socket.close();
-            throw refused;
+            throw e;
         }
     }
 
@@ -170,17 +172,17 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    Answer call(String method, String path, String body) {
+    Response send(String method, String path, String body) {
         try (Socket socket = connect()) {
             socket.getOutputStream().write(request(method, path, body, true));
-            return hear(socket);
-        } catch (IOException none) {
+            return receive(socket);
+        } catch (IOException e) {
             return NONE;
         }
     }
 
     /** The next answer on a connection. */
-    static Answer hear(Socket socket) {
+    static Response receive(Socket socket) {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         try {
             while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
@@ -195,42 +197,44 @@
             byte[] body = socket.getInputStream().readNBytes(length);
             return body.length < length
                     ? NONE
-                    : new Answer(
+                    : new Response(
                             Integer.parseInt(text.split(" ")[1]),
                             new String(body, StandardCharsets.UTF_8));
-        } catch (IOException | NumberFormatException none) {
+        } catch (IOException | NumberFormatException e) {
             return NONE;
         }
     }
 
-    Answer replace(String configuration) {
-        return call("POST", "/Configuration.Replace", configuration);
+    Response replaceConfiguration(String configuration) {
+        return send("POST", "/Configuration.Replace", configuration);
     }
 
-    Answer read() {
-        return call("GET", "/Configuration.Read", "");
+    Response readConfiguration() {
+        return send("GET", "/Configuration.Read", "");
     }
 
     String status() {
-        Answer is = call("GET", "/status", "");
-        return is.status() == 200 ? Json.parse(is.body()).asObject().getString("status", "") : "";
+        Response response = send("GET", "/status", "");
+        return response.status() == 200
+                ? Json.parse(response.body()).asObject().getString("status", "")
+                : "";
     }
 
     /** What it said in this life and before, where something is wrong. */
-    String log() {
-        StringBuilder all = new StringBuilder();
+    String logText() {
+        StringBuilder text = new StringBuilder();
         for (int i = 1; i <= starts; i++) {
             try {
-                all.append("---- ")
+                text.append("---- ")
                         .append(ip)
                         .append(", start ")
                         .append(i)
                         .append('\n')
                         .append(Files.readString(folder.resolve("log." + i)));
-            } catch (IOException none) {
-                all.append(none);
+            } catch (IOException e) {
+                text.append(e);
             }
         }
-        return all.toString();
+        return text.toString();
     }
 }
--- a/src/test/java/dillfront/bootstrap/ControlProcessTest.java
+++ b/src/test/java/dillfront/bootstrap/ControlProcessTest.java
@@ -47,90 +47,99 @@
 class ControlProcessTest {
 
     @TempDir Path dir;
-    private final List<ControlProcess> all = new ArrayList<>();
+    private final List<ControlProcess> processes = new ArrayList<>();
     private ControlProcess a;
     private ControlProcess b;
     private ControlProcess c;
     private int[] ports;
-    private String platform = "127.0.0.1:1";
+    private String platformAddress = "127.0.0.1:1";
 
     @BeforeEach
     void ports() throws IOException {
-        ports = ControlProcess.ports();
+        ports = ControlProcess.allocatePorts();
     }
 
-    private ControlProcess control(int number) {
-        ControlProcess is = new ControlProcess("127.0.77." + number, dir, ports, platform);
-        all.add(is);
-        return is;
+    private ControlProcess newProcess(int number) {
+        ControlProcess process =
+                new ControlProcess("127.0.77." + number, dir, ports, platformAddress);
+        processes.add(process);
+        return process;
     }
 
-    private void found() throws Exception {
-        a = control(1);
-        b = control(2);
-        c = control(3);
-        begin();
+    private void startThreeProcesses() throws Exception {
+        a = newProcess(1);
+        b = newProcess(2);
+        c = newProcess(3);
+        startAll();
     }
 
-    private void begin() throws Exception {
-        List<ControlProcess> seeds = List.copyOf(all);
-        for (ControlProcess one : seeds) {
-            one.start(true, seeds);
+    private void startAll() throws Exception {
+        List<ControlProcess> seeds = List.copyOf(processes);
+        for (ControlProcess process : seeds) {
+            process.start(true, seeds);
         }
-        up(seeds);
-        acknowledged(configuration(1, 500), seeds);
-        until(
+        awaitRunning(seeds);
+        replaceUntilAcknowledged(configuration(1, 500), seeds);
+        waitUntil(
                 "all three answer a read",
-                () -> seeds.stream().allMatch(one -> one.read().status() == 200));
+                () ->
+                        seeds.stream()
+                                .allMatch(process -> process.readConfiguration().status() == 200));
     }
 
     /** What a machine under load takes until programs run is no part of any scene. */
-    private void up(List<ControlProcess> started) throws Exception {
-        until(
+    private void awaitRunning(List<ControlProcess> expected) throws Exception {
+        waitUntil(
                 60,
-                "programs run: " + started.size(),
-                () -> started.stream().noneMatch(one -> one.status().isEmpty()));
+                "programs run: " + expected.size(),
+                () -> expected.stream().noneMatch(one -> one.status().isEmpty()));
     }
 
     @AfterEach
-    void end() throws Exception {
-        for (ControlProcess one : all) {
-            if (one.runs()) {
-                one.signal("CONT");
-                one.kill();
+    void killProcesses() throws Exception {
+        for (ControlProcess process : processes) {
+            if (process.isRunning()) {
+                process.signal("CONT");
+                process.kill();
             }
         }
     }
 
-    private String told() {
+    private String diagnostics() {
         StringBuilder text = new StringBuilder();
-        all.forEach(
-                one ->
-                        text.append(one.ip)
+        processes.forEach(
+                process ->
+                        text.append(process.ip)
                                 .append(' ')
-                                .append(one.runs() ? one.status() : "down")
+                                .append(process.isRunning() ? process.status() : "down")
                                 .append('\n')
-                                .append(one.log()));
+                                .append(process.logText()));
         return text.toString();
     }
 
-    private void until(String what, Callable<Boolean> is) throws Exception {
-        until(12, what, is);
+    private void waitUntil(String description, Callable<Boolean> condition) throws Exception {
+        waitUntil(12, description, condition);
     }
 
-    private void until(long seconds, String what, Callable<Boolean> is) throws Exception {
-        for (long end = System.nanoTime() + seconds * 1_000_000_000L; !is.call(); ) {
+    private void waitUntil(long seconds, String description, Callable<Boolean> condition)
+            throws Exception {
+        for (long end = System.nanoTime() + seconds * 1_000_000_000L; !condition.call(); ) {
             if (System.nanoTime() > end) {
                 throw new AssertionError(
-                        "waited " + seconds + " s in vain until " + what + "\n" + told());
+                        "waited "
+                                + seconds
+                                + " s in vain until "
+                                + description
+                                + "\n"
+                                + diagnostics());
             }
             Thread.sleep(20);
         }
     }
 
-    private static String configuration(long version, int timeout) {
+    private static String configuration(long revision, int timeout) {
         return ("{'revision_number':"
-                        + version
+                        + revision
                         + ",'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'primary',"
                         + "'timeout_ms':"
                         + timeout
@@ -139,30 +148,35 @@
                 .replace('\'', '"');
     }
 
-    private static long version(ControlProcess.Answer of) {
-        return Json.parse(of.body()).asObject().getLong("revision_number", -1);
+    private static long revision(ControlProcess.Response response) {
+        return Json.parse(response.body()).asObject().getLong("revision_number", -1);
     }
 
     /**
      * As an operator does: again, to one after the other, until it is acknowledged; no answer may
      * be a refusal.
      */
-    private void acknowledged(String order, List<ControlProcess> at) throws Exception {
+    private void replaceUntilAcknowledged(String configuration, List<ControlProcess> targets)
+            throws Exception {
         int[] next = new int[1];
-        until(
-                "an order is acknowledged by one of " + at.size(),
+        waitUntil(
+                "an order is acknowledged by one of " + targets.size(),
                 () -> {
-                    int status = at.get(next[0]++ % at.size()).replace(order).status();
+                    int status =
+                            targets.get(next[0]++ % targets.size())
+                                    .replaceConfiguration(configuration)
+                                    .status();
                     assertTrue(
                             status < 400 || status >= 500,
-                            () -> status + " for a valid order\n" + told());
+                            () -> status + " for a valid order\n" + diagnostics());
                     return status == 200;
                 });
     }
 
     /** That one itself acknowledges it within some tries, each without a refusal. */
-    private void acknowledged(String order, ControlProcess at) throws Exception {
-        acknowledged(order, List.of(at));
+    private void replaceUntilAcknowledged(String configuration, ControlProcess targets)
+            throws Exception {
+        replaceUntilAcknowledged(configuration, List.of(targets));
     }
 
     // ---- 1: out of contact
@@ -174,38 +188,41 @@
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void isolatedProcessNeitherConfirmsNorRefusesNorServes() throws Exception {
-        found();
+        startThreeProcesses();
         b.signal("STOP");
         c.signal("STOP");
-        List<Integer> orders = new ArrayList<>();
-        List<Integer> reads = new ArrayList<>();
-        long from = System.nanoTime();
-        for (int i = 0; System.nanoTime() - from < 2_400_000_000L; i++) {
-            orders.add(a.replace(configuration(10 + i, 600)).status());
-            reads.add(a.read().status());
+        List<Integer> replaceStatuses = new ArrayList<>();
+        List<Integer> readStatuses = new ArrayList<>();
+        long startNanos = System.nanoTime();
+        for (int i = 0; System.nanoTime() - startNanos < 2_400_000_000L; i++) {
+            replaceStatuses.add(a.replaceConfiguration(configuration(10 + i, 600)).status());
+            readStatuses.add(a.readConfiguration().status());
         }
-        for (int status : orders) {
+        for (int status : replaceStatuses) {
             assertTrue(
                     status == 0 || status == 503 || status == 307,
-                    "orders at the cut-off one: " + orders);
+                    "orders at the cut-off one: " + replaceStatuses);
         }
-        for (int status : reads) {
+        for (int status : readStatuses) {
             assertTrue(
                     status == 0 || status == 503 || status == 307,
-                    "reads at the cut-off one: " + reads);
+                    "reads at the cut-off one: " + readStatuses);
         }
-        assertTrue(orders.size() >= 3, "it answers within a second each: " + orders);
+        assertTrue(
+                replaceStatuses.size() >= 3, "it answers within a second each: " + replaceStatuses);
         b.signal("CONT");
         c.signal("CONT");
-        acknowledged(configuration(1_000, 700), List.of(b, c, a));
-        until(
+        replaceUntilAcknowledged(configuration(1_000, 700), List.of(b, c, a));
+        waitUntil(
                 "a read at the one that was cut off is the newest",
                 () -> {
-                    ControlProcess.Answer is = a.read();
+                    ControlProcess.Response response = a.readConfiguration();
                     assertTrue(
-                            is.status() == 503 || is.status() == 0 || version(is) == 1_000,
-                            is.body());
-                    return is.status() == 200;
+                            response.status() == 503
+                                    || response.status() == 0
+                                    || revision(response) == 1_000,
+                            response.body());
+                    return response.status() == 200;
                 });
     }
 
@@ -213,18 +230,24 @@
      * Relays between all three, by who dials and whom: each knows the others by an inner port that
      * is only its own.
      */
-    private Map<String, TcpRelay> foundBehindRelays() throws Exception {
-        int[] inner = {
-            0, ControlProcess.ports()[0], ControlProcess.ports()[0], ControlProcess.ports()[0]
+    private Map<String, TcpRelay> startThreeProcessesBehindRelays() throws Exception {
+        int[] internalPorts = {
+            0,
+            ControlProcess.allocatePorts()[0],
+            ControlProcess.allocatePorts()[0],
+            ControlProcess.allocatePorts()[0]
         };
         for (int i = 1; i <= 3; i++) {
-            all.add(
+            processes.add(
                     new ControlProcess(
-                            "127.0.77." + i, dir, new int[] {ports[0], inner[i]}, platform));
+                            "127.0.77." + i,
+                            dir,
+                            new int[] {ports[0], internalPorts[i]},
+                            platformAddress));
         }
-        a = all.get(0);
-        b = all.get(1);
-        c = all.get(2);
+        a = processes.get(0);
+        b = processes.get(1);
+        c = processes.get(2);
         Map<String, TcpRelay> relays = new TreeMap<>();
         for (int i = 1; i <= 3; i++) {
             for (int j = 1; j <= 3; j++) {
@@ -232,12 +255,12 @@
                     relays.put(
                             i + ">" + j,
                             new TcpRelay(
-                                    new InetSocketAddress("127.0.77." + j, inner[i]),
-                                    new InetSocketAddress("127.0.77." + j, inner[j])));
+                                    new InetSocketAddress("127.0.77." + j, internalPorts[i]),
+                                    new InetSocketAddress("127.0.77." + j, internalPorts[j])));
                 }
             }
         }
-        begin();
+        startAll();
         return relays;
     }
 
@@ -248,60 +271,63 @@
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void partitionedProcessNeitherConfirmsNorRefusesNorServes() throws Exception {
-        Map<String, TcpRelay> relays = foundBehindRelays();
+        Map<String, TcpRelay> relays = startThreeProcessesBehindRelays();
         try {
-            int version = 1;
-            for (boolean[] lost : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
-                String what = "its words are lost: " + lost[0] + ", those to it: " + lost[1];
+            int revision = 1;
+            for (boolean[] dropped : new boolean[][] {{true, true}, {true, false}, {false, true}}) {
+                String partition =
+                        "its words are lost: " + dropped[0] + ", those to it: " + dropped[1];
                 relays.forEach(
-                        (way, relay) -> {
-                            if (way.startsWith("1")) {
-                                relay.lose(lost[0], lost[1]);
-                            } else if (way.endsWith("1")) {
-                                relay.lose(lost[1], lost[0]);
+                        (direction, relay) -> {
+                            if (direction.startsWith("1")) {
+                                relay.drop(dropped[0], dropped[1]);
+                            } else if (direction.endsWith("1")) {
+                                relay.drop(dropped[1], dropped[0]);
                             }
                         });
-                long from = System.nanoTime();
-                int newest = version + 2;
-                acknowledged(configuration(newest, 500 + newest), List.of(b, c));
-                List<Integer> answers = new ArrayList<>();
-                long last = from;
-                while (last - from < 2_400_000_000L) {
-                    last = System.nanoTime();
-                    for (ControlProcess.Answer is :
+                long startNanos = System.nanoTime();
+                int newestRevision = revision + 2;
+                replaceUntilAcknowledged(
+                        configuration(newestRevision, 500 + newestRevision), List.of(b, c));
+                List<Integer> statuses = new ArrayList<>();
+                long lastRequestNanos = startNanos;
+                while (lastRequestNanos - startNanos < 2_400_000_000L) {
+                    lastRequestNanos = System.nanoTime();
+                    for (ControlProcess.Response response :
                             List.of(
-                                    a.replace(configuration(version + 1, 600 + version)),
-                                    a.read())) {
-                        answers.add(is.status());
+                                    a.replaceConfiguration(
+                                            configuration(revision + 1, 600 + revision)),
+                                    a.readConfiguration())) {
+                        statuses.add(response.status());
                         assertTrue(
-                                is.status() == 503 || is.status() == 307,
-                                () -> what + ": " + answers + "\n" + told());
+                                response.status() == 503 || response.status() == 307,
+                                () -> partition + ": " + statuses + "\n" + diagnostics());
                     }
                 }
-                long asked = System.nanoTime();
-                assertEquals(307, a.read().status(), what);
-                long took = (System.nanoTime() - asked) / 1_000_000;
+                long requestNanos = System.nanoTime();
+                assertEquals(307, a.readConfiguration().status(), partition);
+                long tookMillis = (System.nanoTime() - requestNanos) / 1_000_000;
                 assertTrue(
-                        a.status().contains(" alone ") && took < 500,
-                        what
+                        a.status().contains(" alone ") && tookMillis < 500,
+                        partition
                                 + ": it knows by now, and says so at once: "
-                                + took
+                                + tookMillis
                                 + " ms, "
                                 + a.status());
                 relays.values().forEach(TcpRelay::heal);
-                until(
-                        "a read at the one that was cut off is the newest; " + what,
+                waitUntil(
+                        "a read at the one that was cut off is the newest; " + partition,
                         () -> {
-                            ControlProcess.Answer is = a.read();
+                            ControlProcess.Response response = a.readConfiguration();
                             assertTrue(
-                                    is.status() == 503
-                                            || is.status() == 307
-                                            || version(is) == newest,
-                                    is.status() + " " + is.body());
-                            return is.status() == 200;
+                                    response.status() == 503
+                                            || response.status() == 307
+                                            || revision(response) == newestRevision,
+                                    response.status() + " " + response.body());
+                            return response.status() == 200;
                         });
-                version = newest + 1;
-                acknowledged(configuration(version, 500 + version), a);
+                revision = newestRevision + 1;
+                replaceUntilAcknowledged(configuration(revision, 500 + revision), a);
             }
         } finally {
             for (TcpRelay relay : relays.values()) {
@@ -317,78 +343,81 @@
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void pausedProcessAnswersNothingOutdated() throws Exception {
-        found();
+        startThreeProcesses();
         a.signal("STOP");
-        List<Socket> waiting = new ArrayList<>();
+        List<Socket> pendingReads = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             Socket read = a.connect();
             read.getOutputStream()
                     .write(ControlProcess.request("GET", "/Configuration.Read", "", true));
-            waiting.add(read);
+            pendingReads.add(read);
         }
         for (int v = 2; v <= 6; v++) {
-            acknowledged(configuration(v, 500 + v), List.of(b, c));
+            replaceUntilAcknowledged(configuration(v, 500 + v), List.of(b, c));
         }
         // The lease, had it one, is over, and others have it.
-        until("another holds the lease", () -> holds(b.status()) || holds(c.status()));
+        waitUntil(
+                "another holds the lease",
+                () -> isLeaseHolder(b.status()) || isLeaseHolder(c.status()));
         a.signal("CONT");
-        for (Socket read : waiting) {
-            ControlProcess.Answer is = ControlProcess.hear(read);
+        for (Socket read : pendingReads) {
+            ControlProcess.Response response = ControlProcess.receive(read);
             assertTrue(
-                    is.status() == 0
-                            || is.status() == 503
-                            || is.status() == 307
-                            || version(is) == 6,
-                    is.status() + " " + is.body());
+                    response.status() == 0
+                            || response.status() == 503
+                            || response.status() == 307
+                            || revision(response) == 6,
+                    response.status() + " " + response.body());
             read.close();
         }
-        until(
+        waitUntil(
                 "it answers a read with the newest",
                 () -> {
-                    ControlProcess.Answer is = a.read();
-                    assertTrue(is.status() != 200 || version(is) == 6, is.body());
-                    return is.status() == 200;
+                    ControlProcess.Response response = a.readConfiguration();
+                    assertTrue(
+                            response.status() != 200 || revision(response) == 6, response.body());
+                    return response.status() == 200;
                 });
     }
 
     // ---- 1 and 5: an old lease
 
     /** One call of the platform. */
-    private record Call(long fence, String holder, String instance) {}
+    private record PlatformCall(long fencingToken, String holder, String instance) {}
 
     /**
      * The platform, and three hollow servers of one service: what they were told, in the order in
      * which it came.
      */
-    private final class Cloud implements AutoCloseable {
-        final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        final NettyEnvironment host = new NettyEnvironment(7);
-        final List<Call> calls = Collections.synchronizedList(new ArrayList<>());
-        final List<String> words = Collections.synchronizedList(new ArrayList<>());
+    private final class FakePlatform implements AutoCloseable {
+        final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        final NettyEnvironment environment = new NettyEnvironment(7);
+        final List<PlatformCall> calls = Collections.synchronizedList(new ArrayList<>());
+        final List<String> receivedLines = Collections.synchronizedList(new ArrayList<>());
 
         /** The next call, and all of whoever makes it, are not answered before this is over. */
-        final AtomicReference<CountDownLatch> holds = new AtomicReference<>();
+        final AtomicReference<CountDownLatch> responseGate = new AtomicReference<>();
 
-        private String unanswered = "";
+        private String unansweredHolder = "";
         private final String[] addresses = new String[4];
-        volatile int leads = 1;
+        volatile int primary = 1;
 
         /** The term that a PAUSE named, by server, until it is resumed or another is promoted. */
-        private final long[] paused = new long[4];
+        private final long[] pausedTerms = new long[4];
 
-        volatile boolean firstIsDead;
-        private volatile long fence;
+        volatile boolean firstIsDown;
+        private volatile long highestToken;
 
-        Cloud() throws IOException {
+        FakePlatform() throws IOException {
             Thread thread =
                     new Thread(
                             () -> {
-                                while (!door.isClosed()) {
+                                while (!listener.isClosed()) {
                                     try {
-                                        Socket socket = door.accept();
-                                        Thread one = new Thread(() -> meet(socket));
-                                        one.setDaemon(true);
-                                        one.start();
+                                        Socket socket = listener.accept();
+                                        Thread requestThread = new Thread(() -> serve(socket));
+                                        requestThread.setDaemon(true);
+                                        requestThread.start();
                                     } catch (IOException closed) {
                                         return;
                                     }
@@ -397,25 +426,27 @@
             thread.setDaemon(true);
             thread.start();
             for (int i = 1; i <= 3; i++) {
-                try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                    addresses[i] = "127.0.0.1:" + free.getLocalPort();
+                try (ServerSocket unused =
+                        new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                    addresses[i] = "127.0.0.1:" + unused.getLocalPort();
                 }
                 int number = i;
-                host.listen(addresses[i], Environment.Framing.LINES, h -> new Server(number));
+                environment.listen(
+                        addresses[i], Environment.Framing.LINES, h -> new FakeServer(number));
             }
         }
 
         String address() {
-            return "127.0.0.1:" + door.getLocalPort();
+            return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        private void meet(Socket socket) {
+        private void serve(Socket socket) {
             try (socket) {
                 BufferedReader in =
                         new BufferedReader(
                                 new InputStreamReader(
                                         socket.getInputStream(), StandardCharsets.US_ASCII));
-                long number = -1;
+                long token = -1;
                 String holder = "";
                 int length = 0;
                 for (String line = in.readLine();
@@ -423,10 +454,10 @@
                         line = in.readLine()) {
                     String value = line.substring(line.indexOf(':') + 1).strip();
                     String name = line.toLowerCase(java.util.Locale.ROOT);
-                    number =
+                    token =
                             name.startsWith("dillfront-fence-number:")
                                     ? Long.parseLong(value)
-                                    : number;
+                                    : token;
                     holder = name.startsWith("dillfront-duty-holder:") ? value : holder;
                     length = name.startsWith("content-length:") ? Integer.parseInt(value) : length;
                 }
@@ -437,21 +468,24 @@
                 }
                 String instance =
                         Json.parse(new String(body)).asObject().getString("instance_id", "");
-                CountDownLatch held;
+                CountDownLatch gate;
                 int status;
                 synchronized (this) {
-                    calls.add(new Call(number, holder, instance));
-                    unanswered = holds.get() != null && unanswered.isEmpty() ? holder : unanswered;
-                    held = holder.equals(unanswered) ? holds.get() : null;
-                    status = number < fence ? 409 : 200;
-                    fence = Math.max(fence, number);
-                    if (status == 200 && held == null) {
-                        leads = Integer.parseInt(instance.substring(2));
-                        Arrays.fill(paused, 0);
+                    calls.add(new PlatformCall(token, holder, instance));
+                    unansweredHolder =
+                            responseGate.get() != null && unansweredHolder.isEmpty()
+                                    ? holder
+                                    : unansweredHolder;
+                    gate = holder.equals(unansweredHolder) ? responseGate.get() : null;
+                    status = token < highestToken ? 409 : 200;
+                    highestToken = Math.max(highestToken, token);
+                    if (status == 200 && gate == null) {
+                        primary = Integer.parseInt(instance.substring(2));
+                        Arrays.fill(pausedTerms, 0);
                     }
                 }
-                if (held != null) {
-                    held.await();
+                if (gate != null) {
+                    gate.await();
                 }
                 socket.getOutputStream()
                         .write(
@@ -463,11 +497,11 @@
         }
 
         /** Each beats at all control processes, for as long as it lives. */
-        void beats(int number, long sequence) {
-            host.schedule(
+        void scheduleHeartbeats(int number, long sequence) {
+            environment.schedule(
                     200,
                     () -> {
-                        if (number != 1 || !firstIsDead) {
+                        if (number != 1 || !firstIsDown) {
                             String body =
                                     Json.object()
                                             .add("service", "db")
@@ -476,86 +510,89 @@
                                             .add("state", "ready")
                                             .add(
                                                     "database_role",
-                                                    leads == number ? "primary" : "replica")
+                                                    primary == number ? "primary" : "replica")
                                             .add("call_sequence", sequence)
                                             .toString();
-                            for (ControlProcess one : List.of(a, b, c)) {
-                                host.post(
-                                        one.ip + ":" + ports[0],
+                            for (ControlProcess process : List.of(a, b, c)) {
+                                environment.post(
+                                        process.ip + ":" + ports[0],
                                         "/Instances.Heartbeat/i-" + number,
                                         body,
                                         Map.of(),
                                         1_000);
                             }
                         }
-                        beats(number, sequence + 1);
+                        scheduleHeartbeats(number, sequence + 1);
                     });
         }
 
-        private final class Server implements Environment.ConnectionListener {
+        private final class FakeServer implements Environment.ConnectionListener {
             private final int number;
-            private Environment.Connection link;
+            private Environment.Connection connection;
 
-            Server(int number) {
+            FakeServer(int number) {
                 this.number = number;
             }
 
             @Override
             public void onOpen(Environment.Connection opened) {
-                link = opened;
+                connection = opened;
             }
 
             @Override
             public void onMessage(byte[] message) {
                 String line = new String(message, StandardCharsets.US_ASCII);
-                words.add(number + " " + line);
-                if (number == 1 && firstIsDead) {
+                receivedLines.add(number + " " + line);
+                if (number == 1 && firstIsDown) {
                     return;
                 }
-                long held;
-                synchronized (Cloud.this) {
-                    paused[number] =
+                long pausedTerm;
+                synchronized (FakePlatform.this) {
+                    pausedTerms[number] =
                             line.startsWith("QUERY - PAUSE ")
                                     ? Long.parseLong(line.substring(14))
-                                    : line.equals("QUERY - RESUME") ? 0 : paused[number];
-                    held = paused[number];
+                                    : line.equals("QUERY - RESUME") ? 0 : pausedTerms[number];
+                    pausedTerm = pausedTerms[number];
                 }
                 if (!line.equals("GOODBYE")) {
-                    link.send(
+                    connection.send(
                             (line.startsWith("CONNECT")
                                             ? "READY I 1.1"
                                             : "ROW "
-                                                    + (leads == number ? "primary" : "replica")
+                                                    + (primary == number ? "primary" : "replica")
                                                     + " 1 1.1 "
-                                                    + held
+                                                    + pausedTerm
                                                     + " 0 0 1\r\nCOMPLETE -\r\nREADY I 1.1")
                                     .getBytes(StandardCharsets.US_ASCII));
                 }
             }
 
             @Override
-            public void onClose(String why) {
+            public void onClose(String reason) {
                 // It comes again.
             }
         }
 
         @Override
         public void close() throws IOException {
-            door.close();
-            host.eventLoop().parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+            listener.close();
+            environment.eventLoop().parent().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
     }
 
     /** By its own status; "held=" is the version that it has, whoever holds the lease. */
-    private static boolean holds(String status) {
+    private static boolean isLeaseHolder(String status) {
         return status.matches(".* lease=\\d+ held promised=.*");
     }
 
-    private ControlProcess holder() {
-        return all.stream().filter(one -> holds(one.status())).findFirst().orElse(null);
+    private ControlProcess leaseHolder() {
+        return processes.stream()
+                .filter(one -> isLeaseHolder(one.status()))
+                .findFirst()
+                .orElse(null);
     }
 
-    private static boolean leads(int number, String status) {
+    private static boolean isPrimary(int number, String status) {
         return status.matches(".*db primary=i-" + number + "(?! moving|\\d).*");
     }
 
@@ -570,102 +607,114 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void expiredLeaseActsNoMore() throws Exception {
-        try (Cloud cloud = new Cloud()) {
-            platform = cloud.address();
-            found();
+    void pausedHolderDoesNotActOnExpiredLease() throws Exception {
+        try (FakePlatform platform = new FakePlatform()) {
+            platformAddress = platform.address();
+            startThreeProcesses();
             for (int i = 1; i <= 3; i++) {
-                cloud.beats(i, 1);
+                platform.scheduleHeartbeats(i, 1);
             }
-            until(
+            waitUntil(
                     "the first is recorded as the primary",
                     () -> {
                         String status =
-                                all.stream()
+                                processes.stream()
                                         .map(ControlProcess::status)
-                                        .filter(ControlProcessTest::holds)
+                                        .filter(ControlProcessTest::isLeaseHolder)
                                         .findFirst()
                                         .orElse("");
-                        return leads(1, status);
+                        return isPrimary(1, status);
                     });
-            CountDownLatch held = new CountDownLatch(1);
-            int before = cloud.calls.size();
-            cloud.holds.set(held);
-            cloud.firstIsDead = true;
-            until(
+            CountDownLatch responses = new CountDownLatch(1);
+            int callsBefore = platform.calls.size();
+            platform.responseGate.set(responses);
+            platform.firstIsDown = true;
+            waitUntil(
                     "the platform has a call that it does not answer",
-                    () -> cloud.calls.size() > before);
+                    () -> platform.calls.size() > callsBefore);
             // Whoever called holds the lease: the call's fence is a number within it.
-            Call first = cloud.calls.get(before);
-            ControlProcess old =
-                    all.stream()
+            PlatformCall first = platform.calls.get(callsBefore);
+            ControlProcess formerHolder =
+                    processes.stream()
                             .filter(one -> first.holder().equals("core-" + one.ip))
                             .findFirst()
                             .orElseThrow();
-            old.signal("STOP");
-            List<Call> open = List.copyOf(cloud.calls);
+            formerHolder.signal("STOP");
+            List<PlatformCall> callsWhilePaused = List.copyOf(platform.calls);
             assertTrue(
-                    open.subList(before, open.size()).stream().allMatch(first::equals),
-                    "more than one call, and sent again: " + open);
-            assertEquals(1, cloud.leads, "the call is not carried out when its caller is stopped");
-            List<ControlProcess> others = all.stream().filter(one -> one != old).toList();
-            until(
+                    callsWhilePaused.subList(callsBefore, callsWhilePaused.size()).stream()
+                            .allMatch(first::equals),
+                    "more than one call, and sent again: " + callsWhilePaused);
+            assertEquals(
+                    1, platform.primary, "the call is not carried out when its caller is stopped");
+            List<ControlProcess> others =
+                    processes.stream().filter(one -> one != formerHolder).toList();
+            waitUntil(
                     "another has named a primary, and it leads",
                     () ->
-                            cloud.leads != 1
+                            platform.primary != 1
                                     && others.stream()
-                                            .allMatch(one -> leads(cloud.leads, one.status())));
-            acknowledged(configuration(5, 900), others);
-            int calls = cloud.calls.size();
-            int words = cloud.words.size();
-            int leads = cloud.leads;
+                                            .allMatch(
+                                                    one ->
+                                                            isPrimary(
+                                                                    platform.primary,
+                                                                    one.status())));
+            replaceUntilAcknowledged(configuration(5, 900), others);
+            int callCount = platform.calls.size();
+            int lineCount = platform.receivedLines.size();
+            int newPrimary = platform.primary;
             // What the platform said then comes only now.
-            held.countDown();
-            old.signal("CONT");
+            responses.countDown();
+            formerHolder.signal("CONT");
             // Not the highest number that anyone had promised a moment before: that may be one to
             // itself, which came to nothing.
-            until(
+            waitUntil(
                     "the old holder has promised the newer lease to its holder, and knows of the primary",
                     () -> {
-                        String newer =
+                        String newerStatus =
                                 others.stream()
                                         .map(ControlProcess::status)
-                                        .filter(ControlProcessTest::holds)
+                                        .filter(ControlProcessTest::isLeaseHolder)
                                         .findFirst()
                                         .orElse("");
-                        String is = old.status();
-                        return !newer.isEmpty()
-                                && !holds(is)
-                                && promise(is).equals(promise(newer))
-                                && leads(leads, is);
+                        String current = formerHolder.status();
+                        return !newerStatus.isEmpty()
+                                && !isLeaseHolder(current)
+                                && promise(current).equals(promise(newerStatus))
+                                && isPrimary(newPrimary, current);
                     });
-            ControlProcess.Answer read = old.read();
-            assertTrue(read.status() != 200 || version(read) == 5, read.body());
-            List<Call> made = List.copyOf(cloud.calls);
-            List<String> said = List.copyOf(cloud.words).subList(words, cloud.words.size());
+            ControlProcess.Response read = formerHolder.readConfiguration();
+            assertTrue(read.status() != 200 || revision(read) == 5, read.body());
+            List<PlatformCall> allCalls = List.copyOf(platform.calls);
+            List<String> newLines =
+                    List.copyOf(platform.receivedLines)
+                            .subList(lineCount, platform.receivedLines.size());
             assertTrue(
-                    made.subList(calls, made.size()).stream()
-                            .noneMatch(call -> call.holder().equals("core-" + old.ip)),
-                    "made " + made);
+                    allCalls.subList(callCount, allCalls.size()).stream()
+                            .noneMatch(call -> call.holder().equals("core-" + formerHolder.ip)),
+                    "made " + allCalls);
             assertTrue(
-                    said.stream()
+                    newLines.stream()
                             .noneMatch(
-                                    word ->
-                                            word.contains(" PAUSE ")
-                                                    || word.contains(" STEPDOWN ")),
-                    "said " + said);
-            for (int i = 1; i < made.size(); i++) {
-                Call is = made.get(i);
-                assertTrue(is.fence() >= made.get(i - 1).fence(), "a fence that falls: " + made);
+                                    line ->
+                                            line.contains(" PAUSE ")
+                                                    || line.contains(" STEPDOWN ")),
+                    "said " + newLines);
+            for (int i = 1; i < allCalls.size(); i++) {
+                PlatformCall current = allCalls.get(i);
+                assertTrue(
+                        current.fencingToken() >= allCalls.get(i - 1).fencingToken(),
+                        "a fence that falls: " + allCalls);
                 assertTrue(
-                        made.stream()
+                        allCalls.stream()
                                 .noneMatch(
                                         other ->
-                                                other.fence() == is.fence()
-                                                        && !other.holder().equals(is.holder())),
-                        "one fence, two holders: " + made);
+                                                other.fencingToken() == current.fencingToken()
+                                                        && !other.holder()
+                                                                .equals(current.holder())),
+                        "one fence, two holders: " + allCalls);
             }
-            assertEquals(leads, cloud.leads);
+            assertEquals(newPrimary, platform.primary);
         }
     }
 
@@ -673,19 +722,19 @@
      * A data plane that knows of acknowledged commits which no replica has: it says so once, and is
      * gone.
      */
-    private void tellsOfCommits(Cloud cloud, ControlProcess to) {
-        cloud.host
+    private void reportCommits(FakePlatform platform, ControlProcess process) {
+        platform.environment
                 .eventLoop()
                 .execute(
                         () ->
-                                cloud.host.connect(
-                                        to.ip + ":" + ports[1],
+                                platform.environment.connect(
+                                        process.ip + ":" + ports[1],
                                         Environment.Framing.FRAMES,
                                         1_000,
                                         new Environment.ConnectionListener() {
                                             @Override
-                                            public void onOpen(Environment.Connection link) {
-                                                link.send(
+                                            public void onOpen(Environment.Connection connection) {
+                                                connection.send(
                                                         MessageCodec.encode(
                                                                 Map.of(
                                                                         "t",
@@ -716,19 +765,19 @@
                                             }
 
                                             @Override
-                                            public void onClose(String why) {
+                                            public void onClose(String reason) {
                                                 // Nor come again.
                                             }
                                         }));
     }
 
-    private static JsonObject lacking(ControlProcess at) {
-        ControlProcess.Answer is = at.call("GET", "/status", "");
-        JsonArray all =
-                is.status() == 200
-                        ? Json.parse(is.body()).asObject().get("lacking").asArray()
+    private static JsonObject lackingCommits(ControlProcess process) {
+        ControlProcess.Response response = process.send("GET", "/status", "");
+        JsonArray services =
+                response.status() == 200
+                        ? Json.parse(response.body()).asObject().get("lacking").asArray()
                         : Json.array().asArray();
-        return all.isEmpty() ? null : all.get(0).asObject();
+        return services.isEmpty() ? null : services.get(0).asObject();
     }
 
     /**
@@ -736,35 +785,35 @@
      * is accepted.
      */
     @Test
-    void nextHolderGoesOnWithAcceptedLoss() throws Exception {
-        try (Cloud cloud = new Cloud()) {
-            platform = cloud.address();
-            found();
+    void nextHolderHonoursAcceptedLoss() throws Exception {
+        try (FakePlatform platform = new FakePlatform()) {
+            platformAddress = platform.address();
+            startThreeProcesses();
             for (int i = 1; i <= 3; i++) {
-                cloud.beats(i, 1);
+                platform.scheduleHeartbeats(i, 1);
             }
-            until(
+            waitUntil(
                     "the first is recorded as the primary",
                     () -> {
-                        ControlProcess holder = holder();
+                        ControlProcess holder = leaseHolder();
                         return holder != null
                                 && holder.status().matches(".*db primary=i-1(?! moving).*");
                     });
-            all.forEach(one -> tellsOfCommits(cloud, one));
-            ControlProcess.Answer early =
-                    a.call(
+            processes.forEach(one -> reportCommits(platform, one));
+            ControlProcess.Response early =
+                    a.send(
                             "POST",
                             "/Services.AcceptDataLoss",
                             "{'service':'db','move':'7','log_position':'1.1','least_acknowledged':'1.5',"
                                             .replace('\'', '"')
                                     + "\"most_acknowledged\":\"1.6\"}");
             assertEquals(409, early.status(), early.body());
-            cloud.firstIsDead = true;
-            until(
+            platform.firstIsDown = true;
+            waitUntil(
                     "each says what is lacking",
-                    () -> all.stream().allMatch(one -> lacking(one) != null));
-            int calls = cloud.calls.size();
-            JsonObject shown = lacking(a);
+                    () -> processes.stream().allMatch(one -> lackingCommits(one) != null));
+            int callCount = platform.calls.size();
+            JsonObject shown = lackingCommits(a);
             assertEquals(
                     "1.1 1.5 1.6",
                     shown.getString("log_position", "")
@@ -772,61 +821,63 @@
                             + shown.getString("least_acknowledged", "")
                             + " "
                             + shown.getString("most_acknowledged", ""));
-            until(
+            waitUntil(
                     "its holder says so in a line",
                     () -> {
-                        ControlProcess holder = holder();
+                        ControlProcess holder = leaseHolder();
                         return holder != null
                                 && holder.status().contains(" lacking=1.5..1.6 longest_log=1.1");
                     });
-            ControlProcess old = holder();
-            ControlProcess other = all.stream().filter(one -> one != old).findFirst().orElseThrow();
-            for (String wrong :
+            ControlProcess formerHolder = leaseHolder();
+            ControlProcess other =
+                    processes.stream().filter(one -> one != formerHolder).findFirst().orElseThrow();
+            for (String field :
                     new String[] {
                         "move", "log_position", "least_acknowledged", "most_acknowledged"
                     }) {
-                JsonObject not =
+                JsonObject changed =
                         Json.parse(shown.toString())
                                 .asObject()
-                                .set(wrong, wrong.equals("move") ? "7" : "1.2");
+                                .set(field, field.equals("move") ? "7" : "1.2");
                 assertEquals(
                         409,
-                        other.call("POST", "/Services.AcceptDataLoss", not.toString()).status(),
-                        not.toString());
+                        other.send("POST", "/Services.AcceptDataLoss", changed.toString()).status(),
+                        changed.toString());
             }
-            assertEquals(calls, cloud.calls.size(), "nobody is named yet");
-            until(
+            assertEquals(callCount, platform.calls.size(), "nobody is named yet");
+            waitUntil(
                     "it is accepted, at one that does not hold the duty",
                     () -> {
                         int status =
-                                other.call("POST", "/Services.AcceptDataLoss", shown.toString())
+                                other.send("POST", "/Services.AcceptDataLoss", shown.toString())
                                         .status();
-                        assertTrue(status == 200 || status == 503, status + "\n" + told());
+                        assertTrue(status == 200 || status == 503, status + "\n" + diagnostics());
                         return status == 200;
                     });
-            old.kill();
-            until(
+            formerHolder.kill();
+            waitUntil(
                     "another leads",
                     () ->
-                            cloud.leads != 1
+                            platform.primary != 1
                                     && other.status()
                                             .matches(
                                                     ".*db primary=i-"
-                                                            + cloud.leads
+                                                            + platform.primary
                                                             + "(?! moving).*"));
-            for (ControlProcess one : all) {
-                until(
+            for (ControlProcess one : processes) {
+                waitUntil(
                         "it is accepted where it was, and at the other",
                         () -> {
                             int status =
-                                    one == old
+                                    one == formerHolder
                                             ? 200
-                                            : one.call(
+                                            : one.send(
                                                             "POST",
                                                             "/Services.AcceptDataLoss",
                                                             shown.toString())
                                                     .status();
-                            assertTrue(status == 200 || status == 503, status + "\n" + told());
+                            assertTrue(
+                                    status == 200 || status == 503, status + "\n" + diagnostics());
                             return status == 200;
                         });
             }
@@ -842,94 +893,100 @@
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void revisionHasOneContentAndStaysAcknowledged() throws Exception {
-        found();
-        ExecutorService two = Executors.newFixedThreadPool(2);
-        int refused = 0;
+        startThreeProcesses();
+        ExecutorService operators = Executors.newFixedThreadPool(2);
+        int decidedRaces = 0;
         try {
             for (int v = 2; v <= 8; v++) {
                 String one = configuration(v, 1_000 + v);
                 String other = configuration(v, 2_000 + v);
-                Future<ControlProcess.Answer> first = two.submit(() -> a.replace(one));
-                Future<ControlProcess.Answer> second = two.submit(() -> b.replace(other));
+                Future<ControlProcess.Response> first =
+                        operators.submit(() -> a.replaceConfiguration(one));
+                Future<ControlProcess.Response> second =
+                        operators.submit(() -> b.replaceConfiguration(other));
                 int statusOne = first.get(5, TimeUnit.SECONDS).status();
                 int statusOther = second.get(5, TimeUnit.SECONDS).status();
                 assertTrue(
                         statusOne != 200 || statusOther != 200,
-                        "both are confirmed under " + v + "\n" + told());
+                        "both are confirmed under " + v + "\n" + diagnostics());
                 String decided = statusOne == 200 ? one : statusOther == 200 ? other : null;
                 if (decided != null) {
-                    refused++;
+                    decidedRaces++;
                     int number = v;
                     // It may say that it can't tell just now, but nothing else than what was
                     // decided.
-                    until(
+                    waitUntil(
                             "the third reads what was decided under " + v,
                             () -> {
-                                ControlProcess.Answer is = c.read();
+                                ControlProcess.Response response = c.readConfiguration();
                                 assertTrue(
-                                        is.status() != 200 || is.body().equals(decided),
-                                        () -> "in force under " + number + ": " + is.body());
+                                        response.status() != 200 || response.body().equals(decided),
+                                        () -> "in force under " + number + ": " + response.body());
                                 assertTrue(
-                                        is.status() < 400 || is.status() >= 500,
-                                        () -> is.status() + " " + is.body());
-                                return is.status() == 200;
+                                        response.status() < 400 || response.status() >= 500,
+                                        () -> response.status() + " " + response.body());
+                                return response.status() == 200;
                             });
                 }
             }
         } finally {
-            two.shutdownNow();
+            operators.shutdownNow();
         }
-        assertTrue(refused > 0, "no race was decided for either");
+        assertTrue(decidedRaces > 0, "no race was decided for either");
         // The answer is lost on its way: nobody hears it.
-        String order = configuration(50, 800);
+        String configuration = configuration(50, 800);
         try (Socket lost = a.connect()) {
             lost.getOutputStream()
-                    .write(ControlProcess.request("POST", "/Configuration.Replace", order, true));
+                    .write(
+                            ControlProcess.request(
+                                    "POST", "/Configuration.Replace", configuration, true));
             lost.setSoLinger(true, 0);
         }
-        acknowledged(order, b);
-        acknowledged(order, c);
-        acknowledged(configuration(51, 801), a);
-        for (ControlProcess one : all) {
+        replaceUntilAcknowledged(configuration, b);
+        replaceUntilAcknowledged(configuration, c);
+        replaceUntilAcknowledged(configuration(51, 801), a);
+        for (ControlProcess one : processes) {
             one.kill();
         }
-        for (ControlProcess one : all) {
+        for (ControlProcess one : processes) {
             one.start(false, List.of(a, b, c));
         }
-        up(all);
-        for (ControlProcess one : all) {
-            acknowledged(order, one);
-            acknowledged(configuration(51, 801), one);
+        awaitRunning(processes);
+        for (ControlProcess one : processes) {
+            replaceUntilAcknowledged(configuration, one);
+            replaceUntilAcknowledged(configuration(51, 801), one);
         }
-        for (ControlProcess one : all) {
-            until(
+        for (ControlProcess one : processes) {
+            waitUntil(
                     "it reads the newest, which an older one sent again has not changed",
                     () -> {
-                        ControlProcess.Answer is = one.read();
-                        assertTrue(is.status() != 200 || version(is) == 51, is.body());
-                        return is.status() == 200;
+                        ControlProcess.Response response = one.readConfiguration();
+                        assertTrue(
+                                response.status() != 200 || revision(response) == 51,
+                                response.body());
+                        return response.status() == 200;
                     });
         }
     }
 
     // ---- 3: a loss right after a repair
 
-    private static long members(ControlProcess of) {
-        String list = of.status().replaceAll(".* members=\\[([^\\]]*)\\].*", "$1");
+    private static long memberCount(ControlProcess process) {
+        String list = process.status().replaceAll(".* members=\\[([^\\]]*)\\].*", "$1");
         return list.isEmpty() ? 0 : Arrays.stream(list.split(", ")).count();
     }
 
-    private static boolean memberOf(String ip, String status) {
+    private static boolean isMember(String ip, String status) {
         return status.matches(".* members=\\[([^\\]]*, )?" + ip.replace(".", "\\.") + "/.*");
     }
 
-    private static boolean memberOf(ControlProcess one, ControlProcess says) {
-        String status = says.status();
-        String own = one.status();
-        return memberOf(one.ip, status)
+    private static boolean isMember(ControlProcess member, ControlProcess observer) {
+        String status = observer.status();
+        String ownStatus = member.status();
+        return isMember(member.ip, status)
                 && !status.contains(" outgoing=")
-                && !own.isEmpty()
-                && !own.contains(" learner");
+                && !ownStatus.isEmpty()
+                && !ownStatus.contains(" learner");
     }
 
     /**
@@ -938,60 +995,60 @@
      */
     @Test
     @Execution(ExecutionMode.CONCURRENT)
-    void bearsNextLossRightAfterARepair() throws Exception {
-        found();
-        acknowledged(configuration(2, 502), List.of(a, b, c));
-        String was = c.status().replaceAll(".* members=(\\[[^\\]]*\\]).*", "$1");
+    void toleratesNextLossRightAfterRepair() throws Exception {
+        startThreeProcesses();
+        replaceUntilAcknowledged(configuration(2, 502), List.of(a, b, c));
+        String memberList = c.status().replaceAll(".* members=(\\[[^\\]]*\\]).*", "$1");
         c.kill();
-        c.empty();
-        acknowledged(configuration(3, 503), List.of(a, b));
+        c.deleteData();
+        replaceUntilAcknowledged(configuration(3, 503), List.of(a, b));
         c.start(false, List.of(a, b, c));
-        up(List.of(c));
-        until(
+        awaitRunning(List.of(c));
+        waitUntil(
                 "the one whose disk was lost is a member again, as another",
-                () -> memberOf(c, a) && memberOf(c, b) && !a.status().contains(was));
-        assertEquals(3, members(a));
+                () -> isMember(c, a) && isMember(c, b) && !a.status().contains(memberList));
+        assertEquals(3, memberCount(a));
         a.kill();
-        acknowledged(configuration(4, 504), List.of(b, c));
-        until(
+        replaceUntilAcknowledged(configuration(4, 504), List.of(b, c));
+        waitUntil(
                 "both read what was acknowledged",
                 () ->
-                        b.read().body().equals(configuration(4, 504))
-                                && c.read().body().equals(configuration(4, 504)));
+                        b.readConfiguration().body().equals(configuration(4, 504))
+                                && c.readConfiguration().body().equals(configuration(4, 504)));
         // Another machine takes the place of the one that is gone; only the living are told to it.
-        ControlProcess d = control(4);
+        ControlProcess d = newProcess(4);
         d.start(false, List.of(b, c));
-        up(List.of(d));
+        awaitRunning(List.of(d));
         // Each by one look at its status: the set without the first one counts alone.
-        until(
+        waitUntil(
                 "the new machine is a member, and the one that is gone is none",
                 () ->
-                        memberOf(d, c)
+                        isMember(d, c)
                                 && List.of(b, c).stream()
                                         .map(ControlProcess::status)
                                         .allMatch(
                                                 is ->
-                                                        memberOf(d.ip, is)
-                                                                && !memberOf(a.ip, is)
+                                                        isMember(d.ip, is)
+                                                                && !isMember(a.ip, is)
                                                                 && !is.contains(" outgoing=")));
         // Both have accepted that; the repair is over once it is known to be decided where somebody
         // stays who knows it.
-        until("the repair is known to be over", () -> c.read().status() == 200);
+        waitUntil("the repair is known to be over", () -> c.readConfiguration().status() == 200);
         b.kill();
-        acknowledged(configuration(5, 505), List.of(c, d));
+        replaceUntilAcknowledged(configuration(5, 505), List.of(c, d));
         for (ControlProcess one : List.of(c, d)) {
-            until(
+            waitUntil(
                     "the two that are left read it",
-                    () -> one.read().body().equals(configuration(5, 505)));
+                    () -> one.readConfiguration().body().equals(configuration(5, 505)));
         }
         // The first one comes back with its disk, and with what it knew when it went.
         a.start(false, List.of(a, b, c));
-        up(List.of(a));
-        until(
+        awaitRunning(List.of(a));
+        waitUntil(
                 "who was away reads the newest, and never an older one",
                 () -> {
-                    ControlProcess.Answer is = a.read();
-                    assertTrue(is.status() != 200 || version(is) == 5, is.body());
+                    ControlProcess.Response is = a.readConfiguration();
+                    assertTrue(is.status() != 200 || revision(is) == 5, is.body());
                     return is.status() == 200;
                 });
     }
@@ -1002,7 +1059,7 @@
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void catchesUpAfterAHundredChanges() throws Exception {
-        found();
+        startThreeProcesses();
         c.kill();
         ExecutorService operators = Executors.newFixedThreadPool(8);
         List<Future<?>> orders = new ArrayList<>();
@@ -1011,7 +1068,7 @@
             orders.add(
                     operators.submit(
                             () -> {
-                                acknowledged(order, List.of(a, b));
+                                replaceUntilAcknowledged(order, List.of(a, b));
                                 return null;
                             }));
         }
@@ -1020,18 +1077,19 @@
             order.get(30, TimeUnit.SECONDS);
         }
         c.start(false, List.of(a, b, c));
-        long from = System.nanoTime();
-        until(
+        long startNanos = System.nanoTime();
+        waitUntil(
                 "it reads the newest, and never an older one",
                 () -> {
-                    ControlProcess.Answer is = c.read();
-                    assertTrue(is.status() != 200 || version(is) == 101, is.body());
-                    return is.status() == 200;
+                    ControlProcess.Response response = c.readConfiguration();
+                    assertTrue(
+                            response.status() != 200 || revision(response) == 101, response.body());
+                    return response.status() == 200;
                 });
-        long took = (System.nanoTime() - from) / 1_000_000;
-        assertTrue(took < 6_000, took + " ms until it read the newest");
+        long tookMillis = (System.nanoTime() - startNanos) / 1_000_000;
+        assertTrue(tookMillis < 6_000, tookMillis + " ms until it read the newest");
         a.kill();
-        acknowledged(configuration(102, 900), List.of(b, c));
+        replaceUntilAcknowledged(configuration(102, 900), List.of(b, c));
     }
 
     // ---- 5: calls on one connection
@@ -1043,11 +1101,11 @@
     @Test
     @Execution(ExecutionMode.CONCURRENT)
     void answersPipelinedCallsInOrder() throws Exception {
-        found();
-        acknowledged(configuration(2, 502), a);
-        try (Socket one = a.connect();
-                Socket other = a.connect()) {
-            byte[] long1 =
+        startThreeProcesses();
+        replaceUntilAcknowledged(configuration(2, 502), a);
+        try (Socket pipelined = a.connect();
+                Socket readers = a.connect()) {
+            byte[] tooLong =
                     ControlProcess.request(
                             "POST", "/Configuration.Replace", "x".repeat(1 << 20) + "x", false);
             for (byte[] next :
@@ -1056,7 +1114,7 @@
                                     "POST", "/Configuration.Replace", configuration(3, 503), false),
                             ControlProcess.request("GET", "/none", "", false),
                             ControlProcess.request("POST", "/Configuration.Replace", "{", false),
-                            long1,
+                            tooLong,
                             ControlProcess.request("GET", "/status", "", false),
                             ControlProcess.request(
                                     "POST", "/Configuration.Replace", configuration(2, 502), false),
@@ -1067,26 +1125,28 @@
                                     "/Configuration.Replace",
                                     configuration(9, 509),
                                     true))) {
-                one.getOutputStream().write(next);
-                other.getOutputStream()
+                pipelined.getOutputStream().write(next);
+                readers.getOutputStream()
                         .write(ControlProcess.request("GET", "/Configuration.Read", "", false));
             }
             List<Integer> statuses = new ArrayList<>();
-            ControlProcess.Answer read = null;
+            ControlProcess.Response read = null;
             for (int i = 0; i < 8; i++) {
-                read = ControlProcess.hear(one);
+                read = ControlProcess.receive(pipelined);
                 statuses.add(read.status());
             }
             assertEquals(List.of(200, 404, 400, 413, 200, 200, 405, 200), statuses);
             assertEquals(configuration(3, 503), read.body());
             assertEquals(
-                    0, ControlProcess.hear(one).status(), "nothing is taken behind the last call");
+                    0,
+                    ControlProcess.receive(pipelined).status(),
+                    "nothing is taken behind the last call");
             long newest = 0;
             for (int i = 0; i < 9; i++) {
-                ControlProcess.Answer is = ControlProcess.hear(other);
-                assertEquals(200, is.status());
-                assertTrue(version(is) >= newest, "reads on one connection go back");
-                newest = version(is);
+                ControlProcess.Response response = ControlProcess.receive(readers);
+                assertEquals(200, response.status());
+                assertTrue(revision(response) >= newest, "reads on one connection go back");
+                newest = revision(response);
             }
             assertNotEquals(9, newest);
         }
--- a/src/test/java/dillfront/bootstrap/TcpRelay.java
+++ b/src/test/java/dillfront/bootstrap/TcpRelay.java
@@ -14,75 +14,75 @@
  */
 final class TcpRelay implements AutoCloseable {
 
-    private final ServerSocket door = new ServerSocket();
+    private final ServerSocket listener = new ServerSocket();
     private final InetSocketAddress target;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private boolean loses;
-    private boolean losesBack;
+    private boolean dropsForward;
+    private boolean dropsBackward;
 
-    TcpRelay(InetSocketAddress at, InetSocketAddress target) throws IOException {
+    TcpRelay(InetSocketAddress address, InetSocketAddress target) throws IOException {
         this.target = target;
-        door.bind(at);
-        thread(
+        listener.bind(address);
+        startThread(
                 () -> {
-                    while (!door.isClosed()) {
+                    while (!listener.isClosed()) {
                         try {
-                            Socket near = door.accept();
-                            open.add(near);
-                            thread(() -> meet(near));
-                        } catch (IOException closed) {
+                            Socket client = listener.accept();
+                            open.add(client);
+                            startThread(() -> relay(client));
+                        } catch (IOException e) {
                             return;
                         }
                     }
                 });
     }
 
-    private static void thread(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "relay");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void meet(Socket near) {
-        boolean cut;
+    private void relay(Socket client) {
+        boolean dropsBoth;
         synchronized (this) {
-            cut = loses && losesBack;
+            dropsBoth = dropsForward && dropsBackward;
         }
-        if (cut) {
+        if (dropsBoth) {
             // Whoever dials through a cut says what he wants, and nobody hears it.
-            pump(near, near, () -> true);
+            copy(client, client, () -> true);
             return;
         }
-        Socket far = new Socket();
-        open.add(far);
+        Socket server = new Socket();
+        open.add(server);
         try {
-            far.connect(target, 1_000);
-        } catch (IOException refused) {
-            reset(near);
-            reset(far);
+            server.connect(target, 1_000);
+        } catch (IOException e) {
+            reset(client);
+            reset(server);
             return;
         }
-        thread(() -> pump(far, near, () -> losesBack));
-        pump(near, far, () -> loses);
+        startThread(() -> copy(server, client, () -> dropsBackward));
+        copy(client, server, () -> dropsForward);
     }
 
-    private void pump(Socket from, Socket to, BooleanSupplier lost) {
+    private void copy(Socket from, Socket to, BooleanSupplier drops) {
         byte[] bytes = new byte[1 << 16];
         try {
             for (int read = from.getInputStream().read(bytes);
                     read >= 0;
                     read = from.getInputStream().read(bytes)) {
                 synchronized (this) {
-                    if (!lost.getAsBoolean()) {
+                    if (!drops.getAsBoolean()) {
                         to.getOutputStream().write(bytes, 0, read);
                     }
                 }
             }
-        } catch (IOException over) {
+        } catch (IOException e) {
             // As an end, below.
         }
         synchronized (this) {
-            if (lost.getAsBoolean()) {
+            if (drops.getAsBoolean()) {
                 // Through a cut nobody hears of an end.
                 return;
             }
@@ -95,31 +95,31 @@
         open.remove(socket);
         try {
             socket.setSoLinger(true, 0);
-        } catch (IOException over) {
+        } catch (IOException e) {
             // It is closed already.
         }
         try {
             socket.close();
-        } catch (IOException over) {
+        } catch (IOException e) {
             // It is over, which is what was wanted.
         }
     }
 
     /** From now on nothing passes to the target, or back; connections stay open. */
-    synchronized void lose(boolean there, boolean back) {
-        loses = there;
-        losesBack = back;
+    synchronized void drop(boolean forward, boolean backward) {
+        dropsForward = forward;
+        dropsBackward = backward;
     }
 
     /** All passes again; what has lost bytes is reset, as by a machine that knows nothing of it. */
     void heal() {
-        lose(false, false);
+        drop(false, false);
         open.forEach(this::reset);
     }
 
     @Override
     public void close() throws IOException {
-        door.close();
+        listener.close();
         open.forEach(this::reset);
     }
 }
--- a/src/test/java/dillfront/common/config/ReadersTest.java
+++ b/src/test/java/dillfront/common/config/InputParsingTest.java
@@ -23,7 +23,7 @@
  * Configurations, settings, messages: what is good is read, what is not is named, and no bytes do
  * anything else.
  */
-class ReadersTest {
+class InputParsingTest {
 
     private static final String GOOD =
             "{'revision_number':7,'routes':[{'name':'r','host_name':'h','path_prefix':'/','route_kind':'bounded_staleness',"
@@ -34,7 +34,7 @@
         return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String fault(String text) {
+    private static String errorOf(String text) {
         return assertThrows(
                         Configuration.InvalidConfigurationException.class,
                         () -> Configuration.parse(bytes(text)))
@@ -42,37 +42,37 @@
     }
 
     @Test
-    void aConfiguration() throws Configuration.InvalidConfigurationException {
-        Configuration is = Configuration.parse(bytes(GOOD));
-        assertEquals(7, is.revision());
-        assertEquals(1_500, is.route("h").maxStalenessMillis());
-        assertEquals(2_000, is.transactionIdleMillis());
-        assertEquals(68, is.services().get("s").connectionLimit());
+    void readsValidConfiguration() throws Configuration.InvalidConfigurationException {
+        Configuration configuration = Configuration.parse(bytes(GOOD));
+        assertEquals(7, configuration.revision());
+        assertEquals(1_500, configuration.route("h").maxStalenessMillis());
+        assertEquals(2_000, configuration.transactionIdleMillis());
+        assertEquals(68, configuration.services().get("s").connectionLimit());
     }
 
     @Test
     void namesPlaceOfInvalidField() {
         assertEquals(
                 "routes[0].service: no service is named 'x'",
-                fault(GOOD.replace("'service':'s'", "'service':'x'")));
+                errorOf(GOOD.replace("'service':'s'", "'service':'x'")));
         assertEquals(
                 "routes[0].timeout_ms: 0 is no whole number from 1 to 86400000",
-                fault(GOOD.replace("800", "0")));
+                errorOf(GOOD.replace("800", "0")));
         assertEquals(
                 "routes[0].route_kind: 'any' is unknown",
-                fault(GOOD.replace("bounded_staleness", "any")));
+                errorOf(GOOD.replace("bounded_staleness", "any")));
         String route = GOOD.substring(GOOD.indexOf("{'name':'r'"), GOOD.indexOf("],'services'"));
         assertEquals(
                 "routes[1]: a second route for host 'h' and prefix '/'",
-                fault(GOOD.replace(route, route + "," + route.replace("'r'", "'q'"))));
+                errorOf(GOOD.replace(route, route + "," + route.replace("'r'", "'q'"))));
         assertEquals(
                 "routes[1].name: 'r' stands twice",
-                fault(GOOD.replace(route, route + "," + route.replace("'h'", "'i'"))));
+                errorOf(GOOD.replace(route, route + "," + route.replace("'h'", "'i'"))));
         assertEquals(
                 "revision_number: 7.5 is no whole number from 0 to 9223372036854775807",
-                fault(GOOD.replace(":7,", ":7.5,")));
-        assertEquals("services: no list", fault(GOOD.replace("services'", "others'")));
-        assertEquals("the body is no object", fault("[]"));
+                errorOf(GOOD.replace(":7,", ":7.5,")));
+        assertEquals("services: no list", errorOf(GOOD.replace("services'", "others'")));
+        assertEquals("the body is no object", errorOf("[]"));
     }
 
     @Test
@@ -87,26 +87,26 @@
     }
 
     @Property(tries = 500)
-    void bytesThatAreNoneOfOurs(@ForAll byte[] bytes, @ForAll int at, @ForAll byte value) {
-        byte[] spoilt = bytes(GOOD);
-        spoilt[Math.floorMod(at, spoilt.length)] = value;
-        for (byte[] any : List.of(bytes, spoilt)) {
+    void anyBytesFailOnlyWithNamedError(@ForAll byte[] bytes, @ForAll int at, @ForAll byte value) {
+        byte[] corrupted = bytes(GOOD);
+        corrupted[Math.floorMod(at, corrupted.length)] = value;
+        for (byte[] input : List.of(bytes, corrupted)) {
             try {
-                Configuration.parse(any);
-            } catch (Configuration.InvalidConfigurationException named) {
-                assertTrue(!named.getMessage().isEmpty());
+                Configuration.parse(input);
+            } catch (Configuration.InvalidConfigurationException expected) {
+                assertTrue(!expected.getMessage().isEmpty());
             }
             try {
-                MessageCodec.decode(any);
-            } catch (MessageCodec.MalformedMessageException named) {
-                assertTrue(!named.getMessage().isEmpty());
+                MessageCodec.decode(input);
+            } catch (MessageCodec.MalformedMessageException expected) {
+                assertTrue(!expected.getMessage().isEmpty());
             }
         }
     }
 
     @Test
     void messageRoundTrip() throws MessageCodec.MalformedMessageException {
-        MessageCodec.Fields is =
+        MessageCodec.Fields fields =
                 MessageCodec.decode(
                         MessageCodec.encode(
                                 Map.of(
@@ -120,12 +120,12 @@
                                         new byte[] {1, 2},
                                         "l",
                                         List.of(Map.of("i", "x")))));
-        assertEquals(5, is.number("n", 0));
-        assertEquals("text", is.string("t"));
-        assertTrue(is.flag("b"));
-        assertEquals(2, is.bytes("y").length);
-        assertEquals("x", is.maps("l").get(0).string("i"));
-        assertEquals(9, is.number("t", 9), "a field of another kind is as none");
+        assertEquals(5, fields.number("n", 0));
+        assertEquals("text", fields.string("t"));
+        assertTrue(fields.flag("b"));
+        assertEquals(2, fields.bytes("y").length);
+        assertEquals("x", fields.maps("l").get(0).string("i"));
+        assertEquals(9, fields.number("t", 9), "a field of another kind is as none");
         assertThrows(
                 MessageCodec.MalformedMessageException.class,
                 () -> MessageCodec.decode(new byte[] {(byte) 0xdf, 127, 127, 127, 127}));
@@ -135,12 +135,12 @@
     @Test
     void rejectsMessageThatClaimsMoreThanItHas() {
         for (int kind : new int[] {0xc6, 0xdb, 0xdd, 0xdf}) {
-            byte[] claims = {(byte) kind, 127, (byte) 255, (byte) 255, (byte) 255, 1};
+            byte[] truncated = {(byte) kind, 127, (byte) 255, (byte) 255, (byte) 255, 1};
             assertThrows(
                     MessageCodec.MalformedMessageException.class,
-                    () -> MessageCodec.decode(claims),
+                    () -> MessageCodec.decode(truncated),
                     Integer.toHexString(kind));
-            byte[] within = {
+            byte[] nested = {
                 (byte) 0x81,
                 (byte) 0xa1,
                 'n',
@@ -153,7 +153,7 @@
             };
             assertThrows(
                     MessageCodec.MalformedMessageException.class,
-                    () -> MessageCodec.decode(within),
+                    () -> MessageCodec.decode(nested),
                     Integer.toHexString(kind));
         }
     }
@@ -161,18 +161,18 @@
     /** Guards against lists of lists of nothing, of which a message of 8 MB holds eight million. */
     @Test
     void rejectsMessageOfTooManyElements() {
-        List<Object> nothing = java.util.Collections.nCopies(200_000, null);
-        byte[] many = MessageCodec.encode(Map.of("l", java.util.Collections.nCopies(40, nothing)));
+        List<Object> empty = java.util.Collections.nCopies(200_000, null);
+        byte[] message = MessageCodec.encode(Map.of("l", java.util.Collections.nCopies(40, empty)));
         assertTrue(
                 assertThrows(
                                 MessageCodec.MalformedMessageException.class,
-                                () -> MessageCodec.decode(many))
+                                () -> MessageCodec.decode(message))
                         .getMessage()
                         .contains("too many"));
     }
 
     @Test
-    void settingsAndWhatIsWrongWithThem(@TempDir Path dir)
+    void readsSettingsAndNamesInvalidField(@TempDir Path dir)
             throws IOException, NodeSettings.InvalidSettingsException {
         String good =
                 "{'node_name':'n','zone_name':'a','region':'r','ip_address':'10.0.0.1','zones':{'a':'r','b':'q'},'new':1,"
@@ -180,24 +180,27 @@
                         + "'seed_addresses':['10.0.0.2:90'],'bounds':{'grace_period_s':6.5},'data_directory':null,'cloud_api':null}";
         Path file = dir.resolve("node.json");
         Files.write(file, bytes(good));
-        NodeSettings is = NodeSettings.read(file);
-        assertEquals(6_500, is.gracePeriodMillis());
-        assertEquals("10.0.0.2:7440", is.internalAddressOf(is.seedIps().get(0)));
-        assertTrue(is.isSameRegion("a") && !is.isSameRegion("b") && is.platformAddress() == null);
+        NodeSettings settings = NodeSettings.read(file);
+        assertEquals(6_500, settings.gracePeriodMillis());
+        assertEquals("10.0.0.2:7440", settings.internalAddressOf(settings.seedIps().get(0)));
+        assertTrue(
+                settings.isSameRegion("a")
+                        && !settings.isSameRegion("b")
+                        && settings.platformAddress() == null);
         String[][] bad = {
             {"'n',", "5,", "node_name: no text"},
             {"10.0.0.1:80'", "10.0.0.1'", "front_address: '10.0.0.1' is no IP:PORT"},
             {"[7440,7455]", "7440", "internal_port_range: no list of ports"},
             {"'bounds'", "'others'", "bounds: no object"}
         };
-        for (String[] one : bad) {
-            Files.write(file, bytes(good.replace(one[0], one[1])));
-            String said =
+        for (String[] replacement : bad) {
+            Files.write(file, bytes(good.replace(replacement[0], replacement[1])));
+            String message =
                     assertThrows(
                                     NodeSettings.InvalidSettingsException.class,
                                     () -> NodeSettings.read(file))
                             .getMessage();
-            assertEquals(file + ": " + one[2], said);
+            assertEquals(file + ": " + replacement[2], message);
         }
         Files.write(file, bytes(good.substring(0, 60)));
         assertTrue(
@@ -214,16 +217,16 @@
     @Test
     void ringLogIsWrittenOnWarning() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        RingLog ring = new RingLog(new PrintStream(out, true), "n");
-        ring.record(1, "a");
+        RingLog log = new RingLog(new PrintStream(out, true), "n");
+        log.record(1, "a");
         assertEquals(0, out.size());
-        ring.warn(2, "b");
+        log.warn(2, "b");
         assertEquals("n 1 a\nn 2 b\n", out.toString(StandardCharsets.UTF_8));
         for (int i = 0; i < 1_000; i++) {
-            ring.warn(3, "c");
+            log.warn(3, "c");
         }
         assertTrue(out.toString(StandardCharsets.UTF_8).lines().count() < 40, "bounded");
-        ring.warn(70_000, "later");
+        log.warn(70_000, "later");
         assertTrue(
                 out.toString(StandardCharsets.UTF_8).contains("left out"),
                 "what was lost is counted");
--- a/src/test/java/dillfront/common/environment/HttpPostTest.java
+++ b/src/test/java/dillfront/common/environment/HttpPostTest.java
@@ -25,7 +25,7 @@
  */
 class HttpPostTest {
 
-    private final NettyEnvironment host = new NettyEnvironment(1);
+    private final NettyEnvironment environment = new NettyEnvironment(1);
     private ServerSocket platform;
 
     @BeforeEach
@@ -37,59 +37,59 @@
     @AfterEach
     void close() throws Exception {
         platform.close();
-        host.eventLoop()
+        environment
+                .eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
     }
 
-    private CompletableFuture<Environment.HttpResponse> post(int timeoutMs) {
-        return host.post(
+    private CompletableFuture<Environment.HttpResponse> post(int timeoutMillis) {
+        return environment.post(
                 "127.0.0.1:" + platform.getLocalPort(),
                 "/promotion",
                 "{}",
                 Map.of("Dillfront-Fence-Number", "7"),
-                timeoutMs);
+                timeoutMillis);
     }
 
     /**
      * What becomes of a call that is answered with these bytes, after which the connection is
      * closed.
      */
-    private String answeredWith(String bytes) throws Exception {
-        CompletableFuture<Environment.HttpResponse> is = post(5_000);
-        try (Socket call = platform.accept()) {
-            String head = request(call);
+    private String outcomeOf(String bytes) throws Exception {
+        CompletableFuture<Environment.HttpResponse> response = post(5_000);
+        try (Socket connection = platform.accept()) {
+            String head = request(connection);
             assertTrue(head.contains("ence-number: 7") || head.contains("ence-Number: 7"), head);
-            call.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
+            connection.getOutputStream().write(bytes.getBytes(StandardCharsets.US_ASCII));
         }
         try {
-            return Integer.toString(is.get(8, TimeUnit.SECONDS).status());
-        } catch (ExecutionException none) {
+            return Integer.toString(response.get(8, TimeUnit.SECONDS).status());
+        } catch (ExecutionException e) {
             return "none";
         }
     }
 
-    private static String request(Socket call) throws IOException {
-        StringBuilder all = new StringBuilder();
-        while (!all.toString().endsWith("\r\n\r\n{}")) {
-            int next = call.getInputStream().read();
-            assertTrue(next >= 0, "the call ended within " + all);
-            all.append((char) next);
+    private static String request(Socket connection) throws IOException {
+        StringBuilder received = new StringBuilder();
+        while (!received.toString().endsWith("\r\n\r\n{}")) {
+            int next = connection.getInputStream().read();
+            assertTrue(next >= 0, "the call ended within " + received);
+            received.append((char) next);
         }
-        return all.toString();
+        return received.toString();
     }
 
     @Test
     void failsOnIncompleteResponse() throws Exception {
-        assertEquals("200", answeredWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"));
-        assertEquals("409", answeredWith("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
-        assertEquals("none", answeredWith(""));
-        assertEquals("none", answeredWith("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}"));
+        assertEquals("200", outcomeOf("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"));
+        assertEquals("409", outcomeOf("HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
+        assertEquals("none", outcomeOf(""));
+        assertEquals("none", outcomeOf("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{}"));
         assertEquals(
-                "none",
-                answeredWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnone\r\n"));
-        assertEquals("none", answeredWith("no HTTP at all\r\n\r\n"));
+                "none", outcomeOf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nnone\r\n"));
+        assertEquals("none", outcomeOf("no HTTP at all\r\n\r\n"));
     }
 
     /** Guards against a word on the way that is taken for the answer. */
@@ -97,17 +97,17 @@
     void ignoresInformationalResponses() throws Exception {
         assertEquals(
                 "409",
-                answeredWith(
+                outcomeOf(
                         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n"));
     }
 
     @Test
     void failsAfterTheTimeout() throws Exception {
-        CompletableFuture<Environment.HttpResponse> is = post(200);
-        try (Socket call = platform.accept()) {
-            request(call);
-            assertThrows(ExecutionException.class, () -> is.get(8, TimeUnit.SECONDS));
-            assertEquals(-1, call.getInputStream().read(), "the connection is left");
+        CompletableFuture<Environment.HttpResponse> response = post(200);
+        try (Socket connection = platform.accept()) {
+            request(connection);
+            assertThrows(ExecutionException.class, () -> response.get(8, TimeUnit.SECONDS));
+            assertEquals(-1, connection.getInputStream().read(), "the connection is left");
         }
     }
 
@@ -117,12 +117,13 @@
      */
     @Test
     void sendsNothingAfterTheTimeout() throws Exception {
-        CompletableFuture<Environment.HttpResponse> is = new CompletableFuture<>();
+        CompletableFuture<Environment.HttpResponse> response = new CompletableFuture<>();
         BlockingQueue<Boolean> accepted = new LinkedBlockingQueue<>();
-        host.eventLoop()
+        environment
+                .eventLoop()
                 .execute(
                         () -> {
-                            post(100).whenComplete((answer, fault) -> is.complete(answer));
+                            post(100).whenComplete((answer, fault) -> response.complete(answer));
                             // The process stands still from before it is connected until its time
                             // is over.
                             try {
@@ -132,10 +133,11 @@
                                 Thread.currentThread().interrupt();
                             }
                         });
-        try (Socket call = platform.accept()) {
+        try (Socket connection = platform.accept()) {
             accepted.add(true);
-            assertEquals(-1, call.getInputStream().read(), "something was sent after its time");
+            assertEquals(
+                    -1, connection.getInputStream().read(), "something was sent after its time");
         }
-        assertEquals(null, is.get(8, TimeUnit.SECONDS));
+        assertEquals(null, response.get(8, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/dillfront/common/environment/HttpServerHandlerTest.java
+++ b/src/test/java/dillfront/common/environment/HttpServerHandlerTest.java
@@ -29,56 +29,58 @@
  */
 class HttpServerHandlerTest {
 
-    private static final int LARGE = 300_000;
+    private static final int LARGE_RESPONSE_BYTES = 300_000;
 
-    private final NettyEnvironment host = new NettyEnvironment(1);
+    private final NettyEnvironment environment = new NettyEnvironment(1);
 
     /** What was called, in order; the body stands behind the path. */
-    private final BlockingQueue<String> called = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
     /** Answers that the test holds back, by path. */
-    private final List<CompletableFuture<Environment.HttpResponse>> held =
+    private final List<CompletableFuture<Environment.HttpResponse>> pendingResponses =
             Collections.synchronizedList(new ArrayList<>());
 
-    private String at;
+    private String address;
     private Socket client;
 
     @BeforeEach
     void open() throws IOException {
-        at = free();
-        host.serveHttp(at, this::call);
-        client = connect(at);
+        address = freeAddress();
+        environment.serveHttp(address, this::handle);
+        client = connect(address);
     }
 
     @AfterEach
     void close() throws Exception {
         client.close();
-        host.eventLoop()
+        environment
+                .eventLoop()
                 .parent()
                 .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .await(3, TimeUnit.SECONDS);
     }
 
-    private static String free() throws IOException {
+    private static String freeAddress() throws IOException {
         try (ServerSocket any = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + any.getLocalPort();
         }
     }
 
-    private static Socket connect(String to) throws IOException {
+    private static Socket connect(String address) throws IOException {
         Socket socket =
-                new Socket(InetAddress.getLoopbackAddress(), Integer.parseInt(to.substring(10)));
+                new Socket(
+                        InetAddress.getLoopbackAddress(), Integer.parseInt(address.substring(10)));
         socket.setSoTimeout(8_000);
         return socket;
     }
 
-    private CompletableFuture<Environment.HttpResponse> call(
+    private CompletableFuture<Environment.HttpResponse> handle(
             String method, String path, byte[] body) {
-        called.add(path + new String(body, StandardCharsets.US_ASCII));
+        requests.add(path + new String(body, StandardCharsets.US_ASCII));
         switch (path) {
             case "/held":
-                held.add(new CompletableFuture<>());
-                return held.get(held.size() - 1);
+                pendingResponses.add(new CompletableFuture<>());
+                return pendingResponses.get(pendingResponses.size() - 1);
             case "/fault":
                 throw new IllegalStateException("of the handler");
             case "/deep":
@@ -87,32 +89,33 @@
                 return CompletableFuture.completedFuture(null);
             case "/large":
                 return CompletableFuture.completedFuture(
-                        new Environment.HttpResponse(200, new byte[LARGE]));
+                        new Environment.HttpResponse(200, new byte[LARGE_RESPONSE_BYTES]));
             default:
-                return CompletableFuture.completedFuture(answer(path));
+                return CompletableFuture.completedFuture(response(path));
         }
     }
 
-    private static Environment.HttpResponse answer(String text) {
+    private static Environment.HttpResponse response(String text) {
         return new Environment.HttpResponse(200, text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void complete(int which, Environment.HttpResponse with) {
-        host.eventLoop().execute(() -> held.get(which).complete(with));
+    private void complete(int index, Environment.HttpResponse response) {
+        environment.eventLoop().execute(() -> pendingResponses.get(index).complete(response));
     }
 
-    private static void until(String what, BooleanSupplier is) throws InterruptedException {
-        for (long end = System.nanoTime() + 10_000_000_000L; !is.getAsBoolean(); ) {
-            assertTrue(System.nanoTime() < end, "waited 10 s in vain until " + what);
+    private static void waitUntil(String description, BooleanSupplier condition)
+            throws InterruptedException {
+        for (long end = System.nanoTime() + 10_000_000_000L; !condition.getAsBoolean(); ) {
+            assertTrue(System.nanoTime() < end, "waited 10 s in vain until " + description);
             Thread.sleep(2);
         }
     }
 
-    private static String post(String path, String more, String body) {
+    private static String post(String path, String headers, String body) {
         return "POST "
                 + path
                 + " HTTP/1.1\r\nHost: h\r\n"
-                + more
+                + headers
                 + "Content-Length: "
                 + body.length()
                 + "\r\n\r\n"
@@ -128,7 +131,7 @@
     }
 
     /** The next answer: its status, and its body where it was taken. */
-    private String hear() throws IOException {
+    private String receive() throws IOException {
         InputStream in = client.getInputStream();
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
@@ -160,15 +163,17 @@
     void answersPipelinedCallsInOrder() throws Exception {
         send(post("/held", "", "1") + post("/held", "", "2") + get("/b"));
         for (int i = 0; i < 2; i++) {
-            int before = i + 1;
-            until("the next is called", () -> called.size() == before);
+            int expected = i + 1;
+            waitUntil("the next is called", () -> requests.size() == expected);
             assertEquals(
-                    before, calledAfterTwoTurns(), "begun before the one ahead of it was answered");
-            complete(i, answer("answer " + i));
-            assertEquals("200 answer " + i, hear());
+                    expected,
+                    requestsAfterTwoLoopTurns(),
+                    "begun before the one ahead of it was answered");
+            complete(i, response("answer " + i));
+            assertEquals("200 answer " + i, receive());
         }
-        assertEquals("200 /b", hear());
-        assertEquals("[/held1, /held2, /b]", called.toString());
+        assertEquals("200 /b", receive());
+        assertEquals("[/held1, /held2, /b]", requests.toString());
     }
 
     /**
@@ -180,13 +185,13 @@
         send(
                 post("/held", "", "1")
                         + "POST /long HTTP/1.1\r\nHost: h\r\nContent-Length: 1048577\r\n\r\n");
-        until("the first is called", () -> called.size() == 1);
+        waitUntil("the first is called", () -> requests.size() == 1);
         client.getOutputStream().write(new byte[1_048_577]);
-        complete(0, answer("first"));
-        assertEquals("200 first", hear());
-        assertEquals("413", hear());
+        complete(0, response("first"));
+        assertEquals("200 first", receive());
+        assertEquals("413", receive());
         send(get("/b"));
-        assertEquals("200 /b", hear());
+        assertEquals("200 /b", receive());
     }
 
     /** The same where the length is not known before. */
@@ -197,10 +202,11 @@
                         + "POST /long HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n");
         client.getOutputStream().write(new byte[0x100001]);
         send("\r\n0\r\n\r\n" + get("/b"));
-        until("the first is called", () -> called.size() >= 1);
-        complete(0, answer("first"));
-        assertEquals(List.of("200 first", "413", "200 /b"), List.of(hear(), hear(), hear()));
-        assertEquals("[/held1, /b]", called.toString());
+        waitUntil("the first is called", () -> requests.size() >= 1);
+        complete(0, response("first"));
+        assertEquals(
+                List.of("200 first", "413", "200 /b"), List.of(receive(), receive(), receive()));
+        assertEquals("[/held1, /b]", requests.toString());
     }
 
     /**
@@ -212,43 +218,43 @@
         send(
                 post("/held", "", "1")
                         + "POST /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
-        until("the first is called", () -> called.size() == 1);
-        complete(0, answer("first"));
-        assertEquals("200 first", hear());
-        assertEquals("100", hear());
+        waitUntil("the first is called", () -> requests.size() == 1);
+        complete(0, response("first"));
+        assertEquals("200 first", receive());
+        assertEquals("100", receive());
         send("x");
-        assertEquals("200 /b", hear());
+        assertEquals("200 /b", receive());
         send("POST /b HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n");
-        assertEquals("100", hear());
+        assertEquals("100", receive());
         // The answer to HEAD has no body: it must be taken for none but that one.
         send("xHEAD /h HTTP/1.1\r\nHost: h\r\n\r\n" + get("/c"));
-        assertEquals("200 /b", hear());
+        assertEquals("200 /b", receive());
         String rest =
                 new String(client.getInputStream().readNBytes(1), StandardCharsets.US_ASCII)
-                        + until("/c");
+                        + waitUntil("/c");
         assertTrue(rest.matches("(?s)HTTP/1.1 200.*\r\n\r\nHTTP/1.1 200.*\r\n\r\n/c"), rest);
     }
 
-    private String until(String end) throws IOException {
-        StringBuilder all = new StringBuilder();
-        while (all.indexOf(end) < 0) {
-            all.append((char) client.getInputStream().read());
+    private String waitUntil(String end) throws IOException {
+        StringBuilder received = new StringBuilder();
+        while (received.indexOf(end) < 0) {
+            received.append((char) client.getInputStream().read());
         }
-        return all.toString();
+        return received.toString();
     }
 
     /** Guards against a caller who is told to ask elsewhere, and not where. */
     @Test
     void sendsLocationOfRedirect() throws Exception {
         send(post("/held", "", "1"));
-        until("it is called", () -> called.size() == 1);
+        waitUntil("it is called", () -> requests.size() == 1);
         complete(0, new Environment.HttpResponse(307, new byte[0], "http://10.0.0.4:8080/held"));
-        String head = until("\r\n\r\n");
+        String head = waitUntil("\r\n\r\n");
         assertTrue(
                 head.matches("(?is)HTTP/1.1 307 .*\r\nlocation: http://10.0.0.4:8080/held\r\n.*"),
                 head);
         send(get("/b"));
-        assertEquals("200 /b", hear());
+        assertEquals("200 /b", receive());
     }
 
     /**
@@ -257,25 +263,29 @@
      */
     @Test
     void faultFailsItsCallAlone() throws Exception {
-        for (String bad : new String[] {"/fault", "/deep", "/none"}) {
-            called.clear();
-            held.clear();
-            send(post("/held", "", "1") + get(bad) + get("/b"));
-            until("the first is called", () -> called.size() == 1);
-            complete(0, answer("first"));
+        for (String path : new String[] {"/fault", "/deep", "/none"}) {
+            requests.clear();
+            pendingResponses.clear();
+            send(post("/held", "", "1") + get(path) + get("/b"));
+            waitUntil("the first is called", () -> requests.size() == 1);
+            complete(0, response("first"));
             assertEquals(
-                    List.of("200 first", "500", "200 /b"), List.of(hear(), hear(), hear()), bad);
+                    List.of("200 first", "500", "200 /b"),
+                    List.of(receive(), receive(), receive()),
+                    path);
         }
-        called.clear();
+        requests.clear();
         send(post("/held", "", "1") + get("/b"));
-        until("the first is called", () -> called.size() == 1);
-        host.eventLoop()
+        waitUntil("the first is called", () -> requests.size() == 1);
+        environment
+                .eventLoop()
                 .execute(
                         () ->
-                                held.get(held.size() - 1)
+                                pendingResponses
+                                        .get(pendingResponses.size() - 1)
                                         .completeExceptionally(
                                                 new IllegalStateException("no majority")));
-        assertEquals(List.of("503", "200 /b"), List.of(hear(), hear()));
+        assertEquals(List.of("503", "200 /b"), List.of(receive(), receive()));
     }
 
     /**
@@ -284,16 +294,16 @@
      */
     @Test
     void timesOutCallWithoutAnswer() throws Exception {
-        String second = free();
-        host.serveHttp(second, this::call, 150);
+        String secondAddress = freeAddress();
+        environment.serveHttp(secondAddress, this::handle, 150);
         client.close();
-        client = connect(second);
+        client = connect(secondAddress);
         send(post("/held", "", "1") + get("/b"));
-        assertEquals(List.of("503", "200 /b"), List.of(hear(), hear()));
+        assertEquals(List.of("503", "200 /b"), List.of(receive(), receive()));
         // What comes later is no answer to the next call.
-        complete(0, answer("late"));
+        complete(0, response("late"));
         send(get("/c"));
-        assertEquals("200 /c", hear());
+        assertEquals("200 /c", receive());
     }
 
     /**
@@ -303,24 +313,25 @@
     @Test
     void stopsReadingFromClientThatReadsNothing() throws Exception {
         send(get("/large").repeat(100));
-        until("some are called", () -> called.size() >= 2);
+        waitUntil("some are called", () -> requests.size() >= 2);
         // What the sockets take between them, and a megabyte in the process.
-        int most = 12_000_000 / LARGE;
+        int maxRequests = 12_000_000 / LARGE_RESPONSE_BYTES;
         assertTrue(
-                calledAfterTwoTurns() <= most, called.size() + " calls whose answers nobody read");
+                requestsAfterTwoLoopTurns() <= maxRequests,
+                requests.size() + " calls whose answers nobody read");
         for (int i = 0; i < 100; i++) {
-            assertEquals("200", hear().substring(0, 3));
+            assertEquals("200", receive().substring(0, 3));
         }
     }
 
     /** Two whole looks at the sockets later, whatever could be called has been. */
-    private int calledAfterTwoTurns() throws Exception {
+    private int requestsAfterTwoLoopTurns() throws Exception {
         for (int i = 0; i < 2; i++) {
             CompletableFuture<Void> turn = new CompletableFuture<>();
-            host.schedule(20, () -> turn.complete(null));
+            environment.schedule(20, () -> turn.complete(null));
             turn.get(5, TimeUnit.SECONDS);
         }
-        return called.size();
+        return requests.size();
     }
 
     /**
@@ -330,14 +341,14 @@
     @Test
     void ignoresWhatFollowsTheLastCall() throws Exception {
         send(post("/a", "Connection: close\r\n", "") + post("/b", "", ""));
-        assertEquals(List.of("200 /a", "end"), List.of(hear(), hear()));
-        assertEquals("[/a]", called.toString());
-        client = connect(at);
+        assertEquals(List.of("200 /a", "end"), List.of(receive(), receive()));
+        assertEquals("[/a]", requests.toString());
+        client = connect(address);
         send(post("/held", "", "") + "NO HTTP AT ALL\r\n\r\n" + post("/b", "", ""));
-        until("the first is called", () -> called.size() >= 2);
-        complete(0, answer("first"));
-        assertEquals(List.of("200 first", "400", "end"), List.of(hear(), hear(), hear()));
-        assertEquals("[/a, /held]", called.toString());
+        waitUntil("the first is called", () -> requests.size() >= 2);
+        complete(0, response("first"));
+        assertEquals(List.of("200 first", "400", "end"), List.of(receive(), receive(), receive()));
+        assertEquals("[/a, /held]", requests.toString());
     }
 
     /**
@@ -349,15 +360,15 @@
         send(
                 post("/held", "", "1")
                         + "POST /half HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n{}");
-        until("the first is called", () -> called.size() == 1);
+        waitUntil("the first is called", () -> requests.size() == 1);
         client.setSoLinger(true, 0);
         client.close();
-        client = connect(at);
+        client = connect(address);
         send(get("/b"));
-        assertEquals("200 /b", hear());
-        complete(0, answer("late"));
+        assertEquals("200 /b", receive());
+        complete(0, response("late"));
         send(get("/c"));
-        assertEquals("200 /c", hear());
-        assertEquals("[/held1, /b, /c]", called.toString());
+        assertEquals("200 /c", receive());
+        assertEquals("[/held1, /b, /c]", requests.toString());
     }
 }
--- a/src/test/java/dillfront/common/environment/ManualEnvironment.java
+++ b/src/test/java/dillfront/common/environment/ManualEnvironment.java
@@ -16,7 +16,7 @@
 
     private record Event(long at, long order, Runnable run) {}
 
-    private final PriorityQueue<Event> events =
+    private final PriorityQueue<Event> queue =
             new PriorityQueue<>(
                     (a, b) ->
                             a.at() != b.at()
@@ -27,20 +27,20 @@
     private long order;
 
     /** What was noted, each with its time. */
-    public final List<String> log = new ArrayList<>();
+    public final List<String> events = new ArrayList<>();
 
-    public final void at(long in, Runnable run) {
-        events.add(new Event(now + in, order++, run));
+    public final void runAfter(long delayMillis, Runnable task) {
+        queue.add(new Event(now + delayMillis, order++, task));
     }
 
     /** All that is to happen up to then. */
-    public final void until(long ms) {
-        while (!events.isEmpty() && events.peek().at() <= ms) {
-            Event e = events.poll();
-            now = e.at();
-            e.run().run();
+    public final void advanceTo(long millis) {
+        while (!queue.isEmpty() && queue.peek().at() <= millis) {
+            Event event = queue.poll();
+            now = event.at();
+            event.run().run();
         }
-        now = ms;
+        now = millis;
     }
 
     @Override
@@ -49,21 +49,22 @@
     }
 
     @Override
-    public Timer schedule(long ms, Runnable run) {
-        boolean[] off = new boolean[1];
-        at(
-                ms,
+    public Timer schedule(long delayMillis, Runnable task) {
+        boolean[] cancelled = new boolean[1];
+        runAfter(
+                delayMillis,
                 () -> {
-                    if (!off[0]) {
-                        run.run();
+                    if (!cancelled[0]) {
+                        task.run();
                     }
                 });
-        return () -> off[0] = true;
+        return () -> cancelled[0] = true;
     }
 
     @Override
-    public Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear) {
-        at(1, () -> ear.onClose("refused"));
+    public Connection connect(
+            String address, Framing framing, int timeoutMillis, ConnectionListener listener) {
+        runAfter(1, () -> listener.onClose("refused"));
         return new Connection() {
             @Override
             public void send(byte[] message) {
@@ -84,7 +85,11 @@
 
     @Override
     public CompletableFuture<HttpResponse> post(
-            String address, String path, String json, Map<String, String> headers, int timeoutMs) {
+            String address,
+            String path,
+            String json,
+            Map<String, String> headers,
+            int timeoutMillis) {
         return CompletableFuture.failedFuture(new IllegalStateException("refused"));
     }
 
@@ -95,11 +100,11 @@
 
     @Override
     public void trace(String event) {
-        log.add(now + " " + event);
+        events.add(now + " " + event);
     }
 
     @Override
     public void warn(String event) {
-        log.add(now + " wrong: " + event);
+        events.add(now + " wrong: " + event);
     }
 }
