--- a/src/test/java/dillfront/common/environment/ScriptedEnvironment.java
+++ b/src/test/java/dillfront/common/environment/ScriptedEnvironment.java
@@ -16,28 +16,28 @@
     private record Event(long at, long order, Runnable run) {}
 
     /** One end of a connection: what the program sent there, and what the test says to it. */
-    public static final class Line implements Connection {
+    public static final class ScriptedConnection implements Connection {
         public final String address;
         public final List<String> sent = new ArrayList<>();
         public boolean closed;
-        private final Framing form;
-        private final ConnectionListener ear;
+        private final Framing framing;
+        private final ConnectionListener listener;
 
-        public Line(String address, Framing form, ConnectionListener ear) {
+        public ScriptedConnection(String address, Framing framing, ConnectionListener listener) {
             this.address = address;
-            this.form = form;
-            this.ear = ear;
+            this.framing = framing;
+            this.listener = listener;
         }
 
         public void open() {
-            ear.onOpen(this);
+            listener.onOpen(this);
         }
 
         /** Lines, as they come one after the other; none once the program has closed. */
-        public void say(String... lines) {
+        public void receive(String... lines) {
             for (String line : lines) {
                 if (!closed) {
-                    ear.onMessage(line.getBytes(StandardCharsets.ISO_8859_1));
+                    listener.onMessage(line.getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
         }
@@ -46,7 +46,7 @@
         public void reset() {
             if (!closed) {
                 closed = true;
-                ear.onClose("broken");
+                listener.onClose("broken");
             }
         }
 
@@ -55,7 +55,9 @@
             if (!closed) {
                 String text = new String(message, StandardCharsets.ISO_8859_1);
                 sent.addAll(
-                        form == Framing.LINES ? Arrays.asList(text.split("\r\n")) : List.of(text));
+                        framing == Framing.LINES
+                                ? Arrays.asList(text.split("\r\n"))
+                                : List.of(text));
             }
         }
 
@@ -69,7 +71,7 @@
             return 0;
         }
 
-        public String last() {
+        public String lastSent() {
             return sent.isEmpty() ? "" : sent.get(sent.size() - 1);
         }
     }
@@ -83,12 +85,12 @@
     private final SplittableRandom random = new SplittableRandom(1);
     private long order;
     private long now = 1_000;
-    public final List<Line> dialed = new ArrayList<>();
-    public final List<String> noted = new ArrayList<>();
+    public final List<ScriptedConnection> connections = new ArrayList<>();
+    public final List<String> loggedEvents = new ArrayList<>();
 
     /** Time goes on, and what is due happens. */
-    public void pass(long ms) {
-        long end = now + ms;
+    public void advance(long millis) {
+        long end = now + millis;
         while (!events.isEmpty() && events.peek().at() <= end) {
             Event next = events.poll();
             now = Math.max(now, next.at());
@@ -101,12 +103,12 @@
      * The process stands still for so long: what was due meanwhile comes only after what the test
      * says next.
      */
-    public void freeze(long ms) {
-        now += ms;
+    public void pauseProcess(long millis) {
+        now += millis;
     }
 
-    public Line lastDialed() {
-        return dialed.get(dialed.size() - 1);
+    public ScriptedConnection lastConnection() {
+        return connections.get(connections.size() - 1);
     }
 
     @Override
@@ -115,29 +117,34 @@
     }
 
     @Override
-    public Timer schedule(long ms, Runnable run) {
-        boolean[] off = new boolean[1];
+    public Timer schedule(long delayMillis, Runnable task) {
+        boolean[] cancelled = new boolean[1];
         events.add(
                 new Event(
-                        now + Math.max(0, ms),
+                        now + Math.max(0, delayMillis),
                         order++,
                         () -> {
-                            if (!off[0]) {
-                                run.run();
+                            if (!cancelled[0]) {
+                                task.run();
                             }
                         }));
-        return () -> off[0] = true;
+        return () -> cancelled[0] = true;
     }
 
     @Override
-    public Connection connect(String address, Framing form, int timeoutMs, ConnectionListener ear) {
-        dialed.add(new Line(address, form, ear));
-        return lastDialed();
+    public Connection connect(
+            String address, Framing framing, int timeoutMillis, ConnectionListener listener) {
+        connections.add(new ScriptedConnection(address, framing, listener));
+        return lastConnection();
     }
 
     @Override
     public CompletableFuture<HttpResponse> post(
-            String address, String path, String json, Map<String, String> headers, int timeoutMs) {
+            String address,
+            String path,
+            String json,
+            Map<String, String> headers,
+            int timeoutMillis) {
         return new CompletableFuture<>();
     }
 
@@ -148,11 +155,11 @@
 
     @Override
     public void trace(String event) {
-        noted.add(event);
+        loggedEvents.add(event);
     }
 
     @Override
     public void warn(String event) {
-        noted.add(event);
+        loggedEvents.add(event);
     }
 }
--- a/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
+++ b/src/test/java/dillfront/controlplane/ControlHttpApiTest.java
@@ -57,7 +57,7 @@
     @BeforeEach
     void start() throws Exception {
         node = SingleNode.start(environment);
-        environment.pass(SingleNode.LEASE_ACQUIRED_MS);
+        environment.advance(SingleNode.LEASE_ACQUIRED_MS);
         assertEquals(200, call("POST", "/Configuration.Replace", bytes(VALID_CONFIGURATION)));
     }
 
@@ -68,7 +68,7 @@
     private int call(String method, String path, byte[] body) {
         CompletableFuture<Environment.HttpResponse> result = node.handle(method, path, body);
         for (int i = 0; i < 50 && !result.isDone(); i++) {
-            environment.pass(100);
+            environment.advance(100);
         }
         assertTrue(result.isDone(), method + " " + path + " has no answer within 5 s");
         return result.join().status();
@@ -231,10 +231,11 @@
     private void receivePeerMessage(ControlNode receiver, String ip, boolean leaving) {
         Map<String, Object> message = peerMessage();
         message.putAll(Map.of("i", ip, "id", ip + "/1", "lv", leaving, "pl", List.of()));
-        ScriptedEnvironment.Line connection =
-                new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, receiver.accept());
+        ScriptedEnvironment.ScriptedConnection connection =
+                new ScriptedEnvironment.ScriptedConnection(
+                        "peer", Environment.Framing.FRAMES, receiver.accept());
         connection.open();
-        connection.say(new String(MessageCodec.encode(message), StandardCharsets.ISO_8859_1));
+        connection.receive(new String(MessageCodec.encode(message), StandardCharsets.ISO_8859_1));
     }
 
     private static Environment.HttpResponse answer(
@@ -254,7 +255,7 @@
                 503,
                 answer(isolated, "POST", "/Configuration.Replace", VALID_CONFIGURATION).status(),
                 "no peer was in contact yet, and others may be starting");
-        environment.pass(2_000);
+        environment.advance(2_000);
         Set<String> redirects = new TreeSet<>();
         for (int i = 0; i < 40; i++) {
             Environment.HttpResponse response =
@@ -265,9 +266,9 @@
                 "[307 http://10.0.0.2:8002/Configuration.Replace, 307 http://10.0.0.3:8002/Configuration.Replace]",
                 redirects.toString());
         receivePeerMessage(isolated, "10.0.0.2", false);
-        environment.pass(2_000);
+        environment.advance(2_000);
         receivePeerMessage(isolated, "10.0.0.3", false);
-        environment.pass(20_000);
+        environment.advance(20_000);
         for (int i = 0; i < 20; i++) {
             Environment.HttpResponse response =
                     answer(isolated, "POST", "/Configuration.Replace", VALID_CONFIGURATION);
@@ -287,7 +288,7 @@
                 503, answer(isolated, "POST", "/Instances.Leave/i-1", VALID_HEARTBEAT).status());
         receivePeerMessage(isolated, "10.0.0.2", false);
         receivePeerMessage(isolated, "10.0.0.3", true);
-        environment.pass(20_000);
+        environment.advance(20_000);
         Environment.HttpResponse afterLeave =
                 answer(isolated, "POST", "/Configuration.Replace", VALID_CONFIGURATION);
         assertEquals(
@@ -352,14 +353,15 @@
             Map<String, Object> fields = message;
             byte[] bytes = MessageCodec.encode(fields);
             byte[] sent = random.nextInt(4) == 0 ? corrupted(bytes) : bytes;
-            ScriptedEnvironment.Line connection =
-                    new ScriptedEnvironment.Line("peer", Environment.Framing.FRAMES, node.accept());
+            ScriptedEnvironment.ScriptedConnection connection =
+                    new ScriptedEnvironment.ScriptedConnection(
+                            "peer", Environment.Framing.FRAMES, node.accept());
             connection.open();
-            connection.say(new String(sent, StandardCharsets.ISO_8859_1));
+            connection.receive(new String(sent, StandardCharsets.ISO_8859_1));
             connection.reset();
-            environment.pass(5);
+            environment.advance(5);
         }
-        environment.pass(5_000);
+        environment.advance(5_000);
         assertEquals(200, call("GET", "/Configuration.Read", new byte[0]));
         assertEquals(
                 200,
@@ -367,11 +369,13 @@
                         "POST",
                         "/Configuration.Replace",
                         bytes(VALID_CONFIGURATION.replace(":7,", ":8,"))));
-        ScriptedEnvironment.Line dataPlane =
-                new ScriptedEnvironment.Line("front", Environment.Framing.FRAMES, node.accept());
+        ScriptedEnvironment.ScriptedConnection dataPlane =
+                new ScriptedEnvironment.ScriptedConnection(
+                        "front", Environment.Framing.FRAMES, node.accept());
         dataPlane.open();
-        dataPlane.say(new String(MessageCodec.encode(pollMessage()), StandardCharsets.ISO_8859_1));
-        environment.pass(1_000);
+        dataPlane.receive(
+                new String(MessageCodec.encode(pollMessage()), StandardCharsets.ISO_8859_1));
+        environment.advance(1_000);
         assertEquals(1, dataPlane.sent.size(), "a valid request is answered");
     }
 }
--- a/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
+++ b/src/test/java/dillfront/controlplane/DataPlaneSubscriptionsTest.java
@@ -64,7 +64,7 @@
         }
         answers.clear();
         listener.onMessage(MessageCodec.encode(request));
-        environment.until(environment.nowMillis() + 700);
+        environment.advanceTo(environment.nowMillis() + 700);
         assertEquals(1, answers.size());
         assertEquals(requestNumber, answers.get(0).number("q", -1));
         return answers.get(0);
@@ -91,7 +91,7 @@
     private void configure(ControlNode node, long revision) {
         CompletableFuture<Environment.HttpResponse> answer =
                 node.handle("POST", "/Configuration.Replace", configuration(revision));
-        environment.until(environment.nowMillis() + 1_000);
+        environment.advanceTo(environment.nowMillis() + 1_000);
         assertEquals(200, answer.join().status());
     }
 
@@ -151,7 +151,7 @@
                 ("{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone_name\":\"a\",\"state\":\"ready\","
                                 + "\"database_role\":\"primary\",\"call_sequence\":1}")
                         .getBytes(StandardCharsets.UTF_8));
-        environment.until(3_000);
+        environment.advanceTo(3_000);
         answers.clear();
         dataPlane.onMessage(
                 MessageCodec.encode(Map.of("t", "news", "n", "front-1", "q", 5, "b", "", "c", -1)));
@@ -174,9 +174,9 @@
         dataPlane.onMessage(
                 MessageCodec.encode(
                         Map.of("t", "news", "n", "front-1", "q", 6, "b", "", "c", -1, "hw", true)));
-        environment.until(3_500);
+        environment.advanceTo(3_500);
         assertEquals(0, answers.size());
-        environment.until(3_700);
+        environment.advanceTo(3_700);
         assertEquals(
                 Set.of("q", "alone"),
                 presentFields(
@@ -203,11 +203,11 @@
     void derivesCertaintyFromRemainingLeaseOfPeer() throws Exception {
         ControlNode node = SingleNode.start(environment, "10.0.0.2");
         Environment.ConnectionListener peer = node.accept();
-        environment.until(5_000);
+        environment.advanceTo(5_000);
         long now = environment.nowMillis();
         sendHolderMessage(node, peer, 1, now - 300, 1_000);
         assertEquals(1_000 + 600 - 300, node.primaryCertaintyMillis());
-        environment.until(now + 200);
+        environment.advanceTo(now + 200);
         assertEquals(1_000 + 600 - 500, node.primaryCertaintyMillis());
         // An expired lease, or a holder without a lease time, does not extend the trust period.
         sendHolderMessage(node, peer, 2, now, -700);
--- a/src/test/java/dillfront/controlplane/ServerLeaveTest.java
+++ b/src/test/java/dillfront/controlplane/ServerLeaveTest.java
@@ -77,7 +77,7 @@
                             }
                         });
         node.start();
-        environment.pass(6_000);
+        environment.advance(6_000);
     }
 
     private CompletableFuture<Environment.HttpResponse> call(String path, String body) {
@@ -104,7 +104,7 @@
     }
 
     private int awaitStatus(CompletableFuture<Environment.HttpResponse> call) {
-        environment.pass(500);
+        environment.advance(500);
         assertTrue(call.isDone(), "no answer within 500 ms");
         return call.join().status();
     }
@@ -177,10 +177,10 @@
         diskStalled = true;
         stalledWrites = new CompletableFuture<>();
         CompletableFuture<Environment.HttpResponse> call = call("/Instances.Leave/i-7", "{}");
-        environment.pass(500);
+        environment.advance(500);
         assertFalse(call.isDone(), "leave acknowledged before it is on disk");
         stalledWrites.complete(null);
-        environment.pass(200);
+        environment.advance(200);
         assertEquals(200, call.join().status());
         ServerRegistry restored = new ServerRegistry();
         restored.restore(storedTexts, 0);
@@ -192,7 +192,7 @@
     void ignoresOutdatedHeartbeat() {
         heartbeat("i-1", "ready", "replica", 4);
         long lastContactMillis = node.state().registry().get("i-1").lastContactMillis();
-        environment.pass(3_000);
+        environment.advance(3_000);
         heartbeat("i-1", "ready", "primary", 3);
         DatabaseServer server = node.state().registry().get("i-1");
         assertEquals(lastContactMillis, server.lastContactMillis());
@@ -205,11 +205,11 @@
     void expiresServerLongAfterItsLeave() {
         heartbeat("i-1", "ready", "replica", 4);
         leave("i-1");
-        environment.pass(25_000);
+        environment.advance(25_000);
         assertFalse(
                 node.state().registry().get("i-1").hasLeft(),
                 "server expired while it may still be serving");
-        environment.pass(10_000);
+        environment.advance(10_000);
         assertTrue(node.state().registry().get("i-1").hasLeft());
     }
 
--- a/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
+++ b/src/test/java/dillfront/controlplane/failover/ServerQueryTest.java
@@ -32,7 +32,7 @@
     @BeforeEach
     void acquireLease() throws Exception {
         lease = SingleNode.leaseOf(SingleNode.start(environment));
-        environment.pass(SingleNode.LEASE_ACQUIRED_MS);
+        environment.advance(SingleNode.LEASE_ACQUIRED_MS);
         assertTrue(lease.isHeld(), "a single process holds the lease");
         ServerRegistry registry = new ServerRegistry();
         registry.merge(
@@ -41,7 +41,7 @@
         server = registry.get("i-1");
     }
 
-    private ScriptedEnvironment.Line startQuery(
+    private ScriptedEnvironment.ScriptedConnection startQuery(
             Function<ServerStatus, String> command, CompletableFuture<ServerStatus> result) {
         ServerQuery.send(environment, lease, server, 500, command)
                 .whenComplete(
@@ -52,9 +52,9 @@
                                 result.completeExceptionally(error);
                             }
                         });
-        ScriptedEnvironment.Line connection = environment.lastDialed();
+        ScriptedEnvironment.ScriptedConnection connection = environment.lastConnection();
         connection.open();
-        assertEquals("CONNECT db control i-1", connection.last());
+        assertEquals("CONNECT db control i-1", connection.lastSent());
         return connection;
     }
 
@@ -70,14 +70,14 @@
     @Test
     void returnsStatusAfterCommand() {
         CompletableFuture<ServerStatus> result = new CompletableFuture<>();
-        ScriptedEnvironment.Line connection =
+        ScriptedEnvironment.ScriptedConnection connection =
                 startQuery(status -> "PAUSE " + status.nextTerm(), result);
-        connection.say("READY I -");
-        assertEquals("QUERY - STATUS", connection.last());
-        connection.say(REPLICA_ROW, "COMPLETE -", "READY I 3.7");
-        assertEquals("QUERY - PAUSE 4", connection.last());
+        connection.receive("READY I -");
+        assertEquals("QUERY - STATUS", connection.lastSent());
+        connection.receive(REPLICA_ROW, "COMPLETE -", "READY I 3.7");
+        assertEquals("QUERY - PAUSE 4", connection.lastSent());
         assertFalse(result.isDone());
-        connection.say("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
+        connection.receive("ROW replica 3 3.9 4 0 0 17", "COMPLETE -", "READY I 3.9");
         assertEquals(9, result.join().position().index());
         assertTrue(connection.closed);
     }
@@ -87,18 +87,18 @@
     void failsOnUnexpectedOrIncompleteAnswers() {
         CompletableFuture<ServerStatus> unexpectedRow = new CompletableFuture<>();
         startQuery(null, unexpectedRow)
-                .say("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
+                .receive("ROW primary 9 9.9 0 0 0 1", "READY I -", "COMPLETE -", "READY I 3.7");
         assertTrue(
                 failureMessage(unexpectedRow).contains("row out of place"),
                 failureMessage(unexpectedRow));
         CompletableFuture<ServerStatus> incomplete = new CompletableFuture<>();
-        startQuery(null, incomplete).say("READY I -", REPLICA_ROW, "READY I 3.7");
+        startQuery(null, incomplete).receive("READY I -", REPLICA_ROW, "READY I 3.7");
         assertTrue(
                 failureMessage(incomplete).contains("half an answer"), failureMessage(incomplete));
         CompletableFuture<ServerStatus> missingCommandResponse = new CompletableFuture<>();
-        ScriptedEnvironment.Line connection =
+        ScriptedEnvironment.ScriptedConnection connection =
                 startQuery(status -> "PAUSE " + status.nextTerm(), missingCommandResponse);
-        connection.say("READY I -", REPLICA_ROW, "COMPLETE -", "READY I 3.7", "READY I 3.7");
+        connection.receive("READY I -", REPLICA_ROW, "COMPLETE -", "READY I 3.7", "READY I 3.7");
         assertTrue(
                 failureMessage(missingCommandResponse).contains("half an answer"),
                 failureMessage(missingCommandResponse));
@@ -109,7 +109,7 @@
         for (String[] refusal :
                 new String[][] {{"ERROR WRONGNODE i-2", "false"}, {"ERROR TOOMANY", "true"}}) {
             CompletableFuture<ServerStatus> result = new CompletableFuture<>();
-            startQuery(null, result).say(refusal[0]);
+            startQuery(null, result).receive(refusal[0]);
             result.exceptionally(
                     error -> {
                         assertEquals(
@@ -120,8 +120,8 @@
             assertTrue(result.isCompletedExceptionally());
         }
         CompletableFuture<ServerStatus> busy = new CompletableFuture<>();
-        ScriptedEnvironment.Line connection = startQuery(status -> "PAUSE 4", busy);
-        connection.say("READY I -", "ERROR BUSY later", "READY I -");
+        ScriptedEnvironment.ScriptedConnection connection = startQuery(status -> "PAUSE 4", busy);
+        connection.receive("READY I -", "ERROR BUSY later", "READY I -");
         assertTrue(busy.isCompletedExceptionally());
         assertFalse(connection.sent.contains("QUERY - PAUSE 4"));
     }
@@ -133,11 +133,11 @@
     @Test
     void sendsNoCommandAfterProcessPause() {
         CompletableFuture<ServerStatus> result = new CompletableFuture<>();
-        ScriptedEnvironment.Line connection =
+        ScriptedEnvironment.ScriptedConnection connection =
                 startQuery(status -> "STEPDOWN " + status.nextTerm(), result);
-        connection.say("READY I -");
-        environment.freeze(20_000);
-        connection.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
+        connection.receive("READY I -");
+        environment.pauseProcess(20_000);
+        connection.receive("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(
                 connection.sent.contains("QUERY - STEPDOWN 4"),
                 "command sent 20 s late: " + connection.sent);
@@ -158,12 +158,12 @@
                         60_000,
                         status -> "STEPDOWN " + status.nextTerm())
                 .whenComplete((status, error) -> result.complete(status));
-        ScriptedEnvironment.Line connection = environment.lastDialed();
+        ScriptedEnvironment.ScriptedConnection connection = environment.lastConnection();
         connection.open();
-        connection.say("READY I -");
+        connection.receive("READY I -");
         lease.resign();
         assertFalse(lease.isHeld());
-        connection.say("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
+        connection.receive("ROW primary 3 3.7 0 0 0 17", "COMPLETE -", "READY I 3.7");
         assertFalse(
                 connection.sent.contains("QUERY - STEPDOWN 4"),
                 "command sent without the lease: " + connection.sent);
@@ -174,11 +174,11 @@
     @Test
     void failsAfterTheTimeout() {
         CompletableFuture<ServerStatus> result = new CompletableFuture<>();
-        ScriptedEnvironment.Line connection = startQuery(null, result);
-        connection.say("READY I -");
-        environment.pass(600);
+        ScriptedEnvironment.ScriptedConnection connection = startQuery(null, result);
+        connection.receive("READY I -");
+        environment.advance(600);
         assertEquals("no answer in 500 ms", failureMessage(result));
         assertTrue(connection.closed);
-        assertEquals("GOODBYE", connection.last());
+        assertEquals("GOODBYE", connection.lastSent());
     }
 }
--- a/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
+++ b/src/test/java/dillfront/controlplane/storage/RetryingStateStoreTest.java
@@ -53,7 +53,7 @@
             boolean fails = failsWrites;
             boolean applies = !fails || appliesFailedWrites;
             if (!hangsWrites) {
-                environment.at(writeMillis, () -> completeWrite(texts, applies, fails));
+                environment.runAfter(writeMillis, () -> completeWrite(texts, applies, fails));
             }
             return future;
         }
@@ -82,13 +82,13 @@
         RetryingStateStore store = new RetryingStateStore(environment, underlying);
         underlying.failsWrites = true;
         CompletableFuture<Void> first = store.put(Map.of("a", "1", "b", "1"));
-        environment.until(20);
+        environment.advanceTo(20);
         assertTrue(!first.isDone());
         assertEquals(Map.of(), underlying.contents);
         underlying.failsWrites = false;
-        environment.until(50);
+        environment.advanceTo(50);
         CompletableFuture<Void> second = store.put(Map.of("b", "2", "c", "2"));
-        environment.until(120);
+        environment.advanceTo(120);
         assertTrue(first.isDone() && second.isDone());
         assertEquals(Map.of("a", "1", "b", "2", "c", "2"), underlying.contents);
         assertEquals(2, underlying.writes.size());
@@ -100,7 +100,7 @@
         RetryingStateStore store = new RetryingStateStore(environment, underlying);
         underlying.failsWrites = true;
         CompletableFuture<Void> put = store.put(Map.of("a", "1"));
-        environment.until(60_000);
+        environment.advanceTo(60_000);
         assertTrue(
                 underlying.writes.size() > 25 && underlying.writes.size() < 40,
                 underlying.writes.size() + " attempts");
@@ -110,13 +110,13 @@
         int writesBefore = underlying.writes.size();
         for (int i = 0; i < 1_000; i++) {
             store.put(Map.of("a", "" + i));
-            environment.until(environment.nowMillis() + 5);
+            environment.advanceTo(environment.nowMillis() + 5);
         }
         assertTrue(
                 underlying.writes.size() - writesBefore < 55,
                 underlying.writes.size() - writesBefore + " attempts in 5 s");
         underlying.failsWrites = false;
-        environment.until(environment.nowMillis() + 2_100);
+        environment.advanceTo(environment.nowMillis() + 2_100);
         assertTrue(put.isDone());
         assertEquals(Map.of("a", "999"), underlying.contents);
         assertEquals(0, store.stalledMillis());
@@ -132,7 +132,7 @@
         for (int i = 0; i < 5; i++) {
             int number = i;
             store.put(Map.of("n", "" + i)).thenRun(() -> completed.add(number));
-            environment.until(environment.nowMillis() + 1_000);
+            environment.advanceTo(environment.nowMillis() + 1_000);
         }
         assertEquals(5_000, store.stalledMillis());
         assertEquals(1, underlying.writes.size());
@@ -140,7 +140,7 @@
         underlying.completeWrite(underlying.writes.get(0), true, false);
         assertEquals(List.of(0), completed);
         assertEquals(4_000, store.stalledMillis(), "stall of the next pending write");
-        environment.until(environment.nowMillis() + 4);
+        environment.advanceTo(environment.nowMillis() + 4);
         assertEquals(List.of(0, 1, 2, 3, 4), completed);
         assertEquals(Map.of("n", "4"), underlying.contents);
         assertEquals(2, underlying.writes.size(), "pending writes are combined");
@@ -157,19 +157,19 @@
         assertTrue(store.put(Map.of("a", "1")).isDone());
         assertEquals(0, underlying.writes.size());
         store.put(Map.of("a", "1", "b", "1", "c", ""));
-        environment.until(10);
+        environment.advanceTo(10);
         assertEquals(List.of(Map.of("b", "1", "c", "")), underlying.writes);
         underlying.failsWrites = true;
         underlying.appliesFailedWrites = true;
         store.put(Map.of("b", "2"));
-        environment.until(20);
+        environment.advanceTo(20);
         underlying.failsWrites = false;
         CompletableFuture<Void> restored = store.put(Map.of("b", "1"));
-        environment.until(200);
+        environment.advanceTo(200);
         assertTrue(restored.isDone());
         assertEquals(Map.of("a", "1", "b", "1"), underlying.contents);
         store.put(Map.of("b", ""));
-        environment.until(300);
+        environment.advanceTo(300);
         assertEquals(Map.of("a", "1"), underlying.contents);
     }
 
@@ -182,7 +182,7 @@
                         .isCompletedExceptionally());
         CompletableFuture<Void> longest =
                 store.put(Map.of("a", "x".repeat(StateStore.MAX_LENGTH_CHARS)));
-        environment.until(10);
+        environment.advanceTo(10);
         assertTrue(longest.isDone() && !longest.isCompletedExceptionally());
         underlying.hangsWrites = true;
         List<CompletableFuture<Void>> results = new ArrayList<>();
@@ -194,7 +194,7 @@
         assertThrows(CompletionException.class, () -> results.get(10_049).join());
         underlying.hangsWrites = false;
         underlying.completeWrite(underlying.writes.get(1), true, false);
-        environment.until(20);
+        environment.advanceTo(20);
         assertEquals(
                 "10049",
                 underlying.contents.get("n" + 10_049 % 7),
@@ -209,7 +209,7 @@
     void storesPrimaryRecordAfterFailedWrite() throws Exception {
         FaultyStore underlying = new FaultyStore();
         ControlNode node = SingleNode.start(environment, underlying);
-        environment.until(8_000);
+        environment.advanceTo(8_000);
         for (int i = 1; i <= 6; i++) {
             underlying.failsWrites = i <= 1;
             node.handle(
@@ -220,7 +220,7 @@
                                     + i
                                     + "}")
                             .getBytes(StandardCharsets.UTF_8));
-            environment.until(environment.nowMillis() + 500);
+            environment.advanceTo(environment.nowMillis() + 500);
             assertTrue(i > 1 || !underlying.contents.containsKey("lead:s"));
         }
         assertTrue(node.status().contains(" | s primary=i-1"), node.status());
@@ -277,10 +277,10 @@
                     underlying.appliesFailedWrites = random.nextBoolean();
                 }
                 underlying.writeMillis = random.nextInt(40);
-                environment.until(environment.nowMillis() + random.nextInt(60));
+                environment.advanceTo(environment.nowMillis() + random.nextInt(60));
             }
             underlying.failsWrites = false;
-            environment.until(environment.nowMillis() + 4_200);
+            environment.advanceTo(environment.nowMillis() + 4_200);
             assertEquals(150, completed.size(), "seed " + seed);
             for (int i = 0; i < 150; i++) {
                 assertEquals(i, completed.get(i), "seed " + seed);
--- a/src/test/java/dillfront/dataplane/ClientSessionTest.java
+++ b/src/test/java/dillfront/dataplane/ClientSessionTest.java
@@ -84,7 +84,7 @@
         @Override
         public void send(byte[] message) {
             for (String line : new String(message, StandardCharsets.ISO_8859_1).split("\r\n")) {
-                environment.at(1, () -> handle(line));
+                environment.runAfter(1, () -> handle(line));
             }
         }
 
@@ -104,7 +104,7 @@
             if (server.closesConnection.test(text)) {
                 closed = true;
                 server.openConnections.remove(this);
-                environment.at(1, () -> listener.onClose("broken"));
+                environment.runAfter(1, () -> listener.onClose("broken"));
                 return;
             }
             String verb = text.startsWith("AFTER ") ? text.split(" ")[2] : text.split(" ")[0];
@@ -144,7 +144,7 @@
 
         private void respond(String... lines) {
             for (String line : lines) {
-                environment.at(
+                environment.runAfter(
                         1,
                         () -> {
                             if (!closed) {
@@ -188,7 +188,7 @@
             } catch (MessageCodec.MalformedMessageException malformed) {
                 throw new IllegalStateException(malformed);
             }
-            environment.at(
+            environment.runAfter(
                     delayed ? 2_000 : sentRegistryVersion < registryVersion ? 1 : 300,
                     () -> {
                         if (sentRegistryVersion < registryVersion || delayed) {
@@ -242,7 +242,7 @@
                             server != null
                                     ? new ServerConnectionStub(listener, server)
                                     : new ControlProcessStub(listener);
-                    at(1, () -> listener.onOpen(connection));
+                    runAfter(1, () -> listener.onOpen(connection));
                     return connection;
                 }
             };
@@ -339,7 +339,7 @@
     }
 
     private void advance(long ms) {
-        environment.until(environment.nowMillis() + ms);
+        environment.advanceTo(environment.nowMillis() + ms);
     }
 
     /** A client and the lines that it received. */
@@ -577,8 +577,8 @@
         respondsLate = false;
         advance(4_000);
         assertTrue(
-                environment.log.stream().anyMatch(l -> l.contains("silent")),
-                environment.log.toString());
+                environment.events.stream().anyMatch(l -> l.contains("silent")),
+                environment.events.toString());
         assertFalse(incarnations.contains("left"), incarnations.toString());
     }
 
--- a/src/test/java/dillfront/dataplane/ConcurrentClientsTest.java
+++ b/src/test/java/dillfront/dataplane/ConcurrentClientsTest.java
@@ -35,7 +35,7 @@
 
     /** A connection to one of the stubbed database servers. */
     private static final class ServerConnectionStub {
-        final ScriptedEnvironment.Line line;
+        final ScriptedEnvironment.ScriptedConnection line;
         final boolean isPrimary;
         int processedLines;
         boolean unresponsive;
@@ -43,7 +43,7 @@
         final Map<String, String> variables = new TreeMap<>();
         final List<String> transactionWrites = new ArrayList<>();
 
-        ServerConnectionStub(ScriptedEnvironment.Line line) {
+        ServerConnectionStub(ScriptedEnvironment.ScriptedConnection line) {
             this.line = line;
             isPrimary = line.address.equals("10.0.0.8:1");
         }
@@ -51,7 +51,7 @@
 
     /** A client and the reply that it has received so far. */
     private static final class ClientStub {
-        ScriptedEnvironment.Line line;
+        ScriptedEnvironment.ScriptedConnection line;
         boolean connected;
         char transactionStatus = 'I';
         String pendingId;
@@ -72,7 +72,7 @@
         final ScriptedEnvironment environment = new ScriptedEnvironment();
         final DataPlaneNode node;
         final DatabaseService service;
-        final Map<ScriptedEnvironment.Line, ServerConnectionStub> connections =
+        final Map<ScriptedEnvironment.ScriptedConnection, ServerConnectionStub> connections =
                 new LinkedHashMap<>();
         final List<ClientStub> clients = new ArrayList<>();
         final Map<String, ClientStub> clientsByStatementId = new HashMap<>();
@@ -144,7 +144,7 @@
         // ---- servers
 
         void processNextLine(ServerConnectionStub connection) {
-            ScriptedEnvironment.Line line = connection.line;
+            ScriptedEnvironment.ScriptedConnection line = connection.line;
             if (connection.unresponsive || connection.processedLines >= line.sent.size()) {
                 return;
             }
@@ -153,7 +153,7 @@
                 if (randomFault(0.03)) {
                     line.reset();
                 } else {
-                    line.say(randomFault(0.02) ? "ERROR TOOMANY" : "READY I 1.1");
+                    line.receive(randomFault(0.02) ? "ERROR TOOMANY" : "READY I 1.1");
                 }
                 return;
             }
@@ -168,7 +168,7 @@
                     && !text.startsWith("SET")
                     && !text.equals("RESET")
                     && !text.equals("ROLLBACK")) {
-                line.say("ERROR BUSY later", "READY " + connection.transactionStatus + " -");
+                line.receive("ERROR BUSY later", "READY " + connection.transactionStatus + " -");
                 return;
             }
             if (fault < 0.07 || !executes && text.equals("ROLLBACK")) {
@@ -179,7 +179,8 @@
                 return;
             }
             if (!executes && !text.startsWith("SET") && text.startsWith("READ")) {
-                line.say("ERROR FAILED it broke", "READY " + connection.transactionStatus + " -");
+                line.receive(
+                        "ERROR FAILED it broke", "READY " + connection.transactionStatus + " -");
                 return;
             }
             List<String> response = execute(connection, fields[1], text);
@@ -192,7 +193,7 @@
                 trace.add("lost response to " + fields[1] + " " + text);
                 connection.unresponsive = randomFault(0.5);
             } else {
-                line.say(response.toArray(new String[0]));
+                line.receive(response.toArray(new String[0]));
             }
         }
 
@@ -271,7 +272,7 @@
         void sendNextStatement(ClientStub client) {
             if (client.line == null || client.line.closed) {
                 client.line =
-                        new ScriptedEnvironment.Line(
+                        new ScriptedEnvironment.ScriptedConnection(
                                 "client", Environment.Framing.LINES, node.accept());
                 client.line.open();
                 client.processedLines = 0;
@@ -280,7 +281,7 @@
                 client.variables.clear();
                 client.transactionWrites = new ArrayList<>();
                 client.connected = false;
-                client.line.say("CONNECT " + (random.nextBoolean() ? "h" : "b") + " me");
+                client.line.receive("CONNECT " + (random.nextBoolean() ? "h" : "b") + " me");
                 return;
             }
             if (client.pendingId != null || !client.connected) {
@@ -329,7 +330,7 @@
             if (text.startsWith("WRITE") && client.transactionStatus == 'T') {
                 client.transactionWrites.add(id);
             }
-            client.line.say("QUERY " + id + " " + text);
+            client.line.receive("QUERY " + id + " " + text);
         }
 
         void processReplies(ClientStub client) {
@@ -403,7 +404,7 @@
         }
 
         void advance() {
-            for (ScriptedEnvironment.Line line : environment.dialed) {
+            for (ScriptedEnvironment.ScriptedConnection line : environment.connections) {
                 connections.computeIfAbsent(
                         line,
                         key -> {
@@ -413,7 +414,7 @@
                             return new ServerConnectionStub(key);
                         });
             }
-            environment.dialed.clear();
+            environment.connections.clear();
             for (ServerConnectionStub c : new ArrayList<>(connections.values())) {
                 if (c.line.closed) {
                     processAfterClose(c);
@@ -431,7 +432,7 @@
                     sendNextStatement(c);
                 }
             }
-            environment.pass(random.nextInt(10) == 0 ? random.nextInt(200) : random.nextInt(8));
+            environment.advance(random.nextInt(10) == 0 ? random.nextInt(200) : random.nextInt(8));
         }
 
         void run() {
@@ -441,7 +442,7 @@
             faultFree = true;
             for (int i = 0; i < 400; i++) {
                 advance();
-                environment.pass(20);
+                environment.advance(20);
             }
             for (ClientStub client : clients) {
                 check(
--- a/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
+++ b/src/test/java/dillfront/dataplane/ControlPlaneClientTest.java
@@ -76,7 +76,7 @@
                 }
             }
             boolean isUpToDate = !isolated && knownRevision >= revision;
-            environment.at(
+            environment.runAfter(
                     isUpToDate ? 600 : 1,
                     () -> {
                         if (target.isOpen && running && !unresponsive) {
@@ -99,7 +99,7 @@
 
         @Override
         public void send(byte[] message) {
-            environment.at(
+            environment.runAfter(
                     1,
                     () -> {
                         try {
@@ -137,7 +137,7 @@
             if (target != null && target.running && !target.unresponsive) {
                 target.connectCount++;
                 target.connection = connection;
-                at(
+                runAfter(
                         1,
                         () -> {
                             if (connection.isOpen) {
@@ -146,7 +146,7 @@
                         });
             } else {
                 trace("none at " + address);
-                at(
+                runAfter(
                         target != null && target.unresponsive ? timeoutMs : 1,
                         () -> {
                             if (connection.isOpen) {
@@ -166,11 +166,11 @@
     }
 
     private void advanceTo(long ms) {
-        environment.until(ms);
+        environment.advanceTo(ms);
     }
 
     private List<String> log() {
-        return environment.log;
+        return environment.events;
     }
 
     private static NodeSettings settings(String... seeds) {
--- a/src/test/java/dillfront/dataplane/ServerConnectionTest.java
+++ b/src/test/java/dillfront/dataplane/ServerConnectionTest.java
@@ -24,7 +24,7 @@
     private final ScriptedEnvironment environment = new ScriptedEnvironment();
     private DataPlaneNode node;
     private DatabaseService service;
-    private ScriptedEnvironment.Line client;
+    private ScriptedEnvironment.ScriptedConnection client;
 
     @BeforeEach
     void setUp() throws Configuration.InvalidConfigurationException {
@@ -62,27 +62,28 @@
         client = client();
     }
 
-    private ScriptedEnvironment.Line client() {
-        ScriptedEnvironment.Line connection =
-                new ScriptedEnvironment.Line("client", Environment.Framing.LINES, node.accept());
+    private ScriptedEnvironment.ScriptedConnection client() {
+        ScriptedEnvironment.ScriptedConnection connection =
+                new ScriptedEnvironment.ScriptedConnection(
+                        "client", Environment.Framing.LINES, node.accept());
         connection.open();
-        connection.say("CONNECT h me");
-        assertEquals("READY I -", connection.last());
+        connection.receive("CONNECT h me");
+        assertEquals("READY I -", connection.lastSent());
         connection.sent.clear();
         return connection;
     }
 
-    private ScriptedEnvironment.Line connectedServer() {
-        ScriptedEnvironment.Line connection = environment.lastDialed();
+    private ScriptedEnvironment.ScriptedConnection connectedServer() {
+        ScriptedEnvironment.ScriptedConnection connection = environment.lastConnection();
         if (connection.sent.isEmpty()) {
             connection.open();
-            assertEquals("CONNECT s f i-1", connection.last());
-            connection.say("READY I 1.1");
+            assertEquals("CONNECT s f i-1", connection.lastSent());
+            connection.receive("READY I 1.1");
         }
         return connection;
     }
 
-    private List<String> takeReceived(ScriptedEnvironment.Line connection) {
+    private List<String> takeReceived(ScriptedEnvironment.ScriptedConnection connection) {
         List<String> lines = List.copyOf(connection.sent);
         connection.sent.clear();
         return lines;
@@ -90,16 +91,16 @@
 
     @Test
     void responseReachesItsClient() {
-        client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line connection = connectedServer();
-        assertEquals("QUERY a1 WRITE k d", connection.last());
-        ScriptedEnvironment.Line otherClient = client();
-        otherClient.say("QUERY b1 WRITE k e");
-        connection.say("COMPLETE s1", "READY I 1.2");
+        client.receive("QUERY a1 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        assertEquals("QUERY a1 WRITE k d", connection.lastSent());
+        ScriptedEnvironment.ScriptedConnection otherClient = client();
+        otherClient.receive("QUERY b1 WRITE k e");
+        connection.receive("COMPLETE s1", "READY I 1.2");
         assertEquals(List.of("COMPLETE s1", "READY I 1.2"), takeReceived(client));
         assertTrue(otherClient.sent.isEmpty());
-        assertEquals("QUERY b1 WRITE k e", connection.last(), "the connection is reused");
-        connection.say("COMPLETE s2", "READY I 1.3");
+        assertEquals("QUERY b1 WRITE k e", connection.lastSent(), "the connection is reused");
+        connection.receive("COMPLETE s2", "READY I 1.3");
         assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(otherClient));
     }
 
@@ -113,17 +114,17 @@
                 new String[] {
                     "ROW other", "COMPLETE other", "ERROR ABORTED it ends", "READY I 1.9"
                 }) {
-            client.say("QUERY a1 WRITE k d");
-            ScriptedEnvironment.Line connection = connectedServer();
-            connection.say("COMPLETE s1", "READY I 1.2");
+            client.receive("QUERY a1 WRITE k d");
+            ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+            connection.receive("COMPLETE s1", "READY I 1.2");
             takeReceived(client);
-            connection.say(unrequested);
-            client.say("QUERY a2 WRITE k d");
-            ScriptedEnvironment.Line nextConnection = connectedServer();
+            connection.receive(unrequested);
+            client.receive("QUERY a2 WRITE k d");
+            ScriptedEnvironment.ScriptedConnection nextConnection = connectedServer();
             assertTrue(
                     connection.closed && nextConnection != connection,
                     unrequested + ": the connection is closed");
-            nextConnection.say("COMPLETE s2", "READY I 1.3");
+            nextConnection.receive("COMPLETE s2", "READY I 1.3");
             assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client), unrequested);
             nextConnection.reset();
         }
@@ -132,10 +133,10 @@
     /** Guards against an unrequested response before the connection is established. */
     @Test
     void closesConnectionOnResponseBeforeReady() {
-        client.say("QUERY a1 READ k");
-        ScriptedEnvironment.Line connection = environment.lastDialed();
+        client.receive("QUERY a1 READ k");
+        ScriptedEnvironment.ScriptedConnection connection = environment.lastConnection();
         connection.open();
-        connection.say("ROW other", "READY I 1.1");
+        connection.receive("ROW other", "READY I 1.1");
         assertTrue(connection.closed);
         assertFalse(connection.sent.toString().contains("QUERY"), connection.sent.toString());
     }
@@ -155,9 +156,9 @@
                     {"COMPLETE s", "ROW r"},
                     {"NOTHING of the wire"}
                 }) {
-            client.say("QUERY a1 WRITE k d");
-            ScriptedEnvironment.Line connection = connectedServer();
-            connection.say(lines);
+            client.receive("QUERY a1 WRITE k d");
+            ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+            connection.receive(lines);
             assertTrue(connection.closed, String.join(", ", lines));
             assertEquals(
                     "ERROR UNCERTAIN the connection ended",
@@ -173,13 +174,13 @@
      */
     @Test
     void writeIsNotRetriedAfterReset() {
-        client.say("QUERY a1 WRITE k d");
+        client.receive("QUERY a1 WRITE k d");
         connectedServer().reset();
-        environment.pass(3_000);
+        environment.advance(3_000);
         assertEquals("ERROR UNCERTAIN the connection ended", takeReceived(client).get(0));
-        for (ScriptedEnvironment.Line connection : environment.dialed) {
+        for (ScriptedEnvironment.ScriptedConnection connection : environment.connections) {
             assertEquals(
-                    connection == environment.dialed.get(0) ? 1 : 0,
+                    connection == environment.connections.get(0) ? 1 : 0,
                     connection.sent.stream().filter(l -> l.startsWith("QUERY a1")).count());
         }
     }
@@ -189,45 +190,45 @@
      */
     @Test
     void retriesReadAfterResetAndWriteAfterBusy() {
-        client.say("QUERY a1 READ k");
-        ScriptedEnvironment.Line connection = connectedServer();
+        client.receive("QUERY a1 READ k");
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
         confirmPrimary(connection);
         connection.reset();
-        ScriptedEnvironment.Line nextConnection = connectedServer();
+        ScriptedEnvironment.ScriptedConnection nextConnection = connectedServer();
         confirmPrimary(nextConnection);
-        nextConnection.say("ROW r", "COMPLETE s1", "READY I 1.2");
+        nextConnection.receive("ROW r", "COMPLETE s1", "READY I 1.2");
         assertEquals(List.of("ROW r", "COMPLETE s1", "READY I 1.2"), takeReceived(client));
-        client.say("QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line thirdConnection = connectedServer();
-        thirdConnection.say("ERROR BUSY later", "READY I 1.2");
-        environment.pass(60);
+        client.receive("QUERY a2 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection thirdConnection = connectedServer();
+        thirdConnection.receive("ERROR BUSY later", "READY I 1.2");
+        environment.advance(60);
         assertEquals(
                 2,
                 thirdConnection.sent.stream().filter(l -> l.equals("QUERY a2 WRITE k d")).count());
-        thirdConnection.say("COMPLETE s2", "READY I 1.3");
+        thirdConnection.receive("COMPLETE s2", "READY I 1.3");
         assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client));
     }
 
     /** The primary is not confirmed: its status is queried before the read is sent. */
-    private static void confirmPrimary(ScriptedEnvironment.Line connection) {
-        assertEquals("QUERY - STATUS", connection.last());
-        connection.say("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
-        assertEquals("QUERY a1 READ k", connection.last());
+    private static void confirmPrimary(ScriptedEnvironment.ScriptedConnection connection) {
+        assertEquals("QUERY - STATUS", connection.lastSent());
+        connection.receive("ROW primary 1 1.1 0 0 0 1", "COMPLETE -", "READY I 1.1");
+        assertEquals("QUERY a1 READ k", connection.lastSent());
     }
 
     /** Guards against a response after the time-out that reaches the next statement. */
     @Test
     void discardsResponseAfterTimeout() {
-        client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line connection = connectedServer();
-        environment.pass(800);
+        client.receive("QUERY a1 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        environment.advance(800);
         assertTrue(takeReceived(client).get(0).startsWith("ERROR TIMEOUT"));
         assertTrue(connection.closed);
-        client.say("QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line nextConnection = connectedServer();
-        connection.say("COMPLETE s1", "READY I 1.2");
+        client.receive("QUERY a2 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection nextConnection = connectedServer();
+        connection.receive("COMPLETE s1", "READY I 1.2");
         assertTrue(client.sent.isEmpty());
-        nextConnection.say("COMPLETE s2", "READY I 1.3");
+        nextConnection.receive("COMPLETE s2", "READY I 1.3");
         assertEquals(List.of("COMPLETE s2", "READY I 1.3"), takeReceived(client));
     }
 
@@ -237,14 +238,14 @@
      */
     @Test
     void closesConnectionWithoutResponseToInternalStatement() {
-        client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line connection = connectedServer();
-        connection.say("COMPLETE -", "READY T 1.1");
-        assertEquals("QUERY a2 WRITE k d", connection.last());
-        connection.say("COMPLETE s1", "READY T 1.1");
-        client.say("QUERY a3 ROLLBACK");
-        assertEquals("QUERY - ROLLBACK", connection.last());
-        environment.pass(2_500);
+        client.receive("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        connection.receive("COMPLETE -", "READY T 1.1");
+        assertEquals("QUERY a2 WRITE k d", connection.lastSent());
+        connection.receive("COMPLETE s1", "READY T 1.1");
+        client.receive("QUERY a3 ROLLBACK");
+        assertEquals("QUERY - ROLLBACK", connection.lastSent());
+        environment.advance(2_500);
         assertTrue(connection.closed, "the connection is closed after a lost response");
         assertTrue(
                 service.servers.get("i-1").connections.stream()
@@ -259,10 +260,10 @@
      */
     @Test
     void closesConnectionWithoutResponseToBegin() {
-        client.say("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
-        ScriptedEnvironment.Line connection = connectedServer();
-        assertEquals("QUERY a1 BEGIN", connection.last());
-        environment.pass(2_500);
+        client.receive("QUERY a1 BEGIN", "QUERY a2 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        assertEquals("QUERY a1 BEGIN", connection.lastSent());
+        environment.advance(2_500);
         assertTrue(client.sent.toString().contains("ERROR "), client.sent.toString());
         assertTrue(connection.closed, "the connection is closed after a lost response");
         assertEquals(0, service.servers.get("i-1").busyConnections);
@@ -274,13 +275,13 @@
      */
     @Test
     void closesConnectionWithoutResponseAfterClientLeft() {
-        client.say("QUERY a1 WRITE k d");
-        ScriptedEnvironment.Line connection = connectedServer();
-        assertEquals("QUERY a1 WRITE k d", connection.last());
+        client.receive("QUERY a1 WRITE k d");
+        ScriptedEnvironment.ScriptedConnection connection = connectedServer();
+        assertEquals("QUERY a1 WRITE k d", connection.lastSent());
         client.reset();
-        environment.pass(500);
+        environment.advance(500);
         assertFalse(connection.closed, "a running statement is completed");
-        environment.pass(1_000);
+        environment.advance(1_000);
         assertTrue(connection.closed, "the connection is closed after a lost response");
         assertEquals(0, service.servers.get("i-1").busyConnections);
     }
--- a/src/test/java/dillfront/router/gossip/GossipProtocolTest.java
+++ b/src/test/java/dillfront/router/gossip/GossipProtocolTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dillfront.simulation.Crowd;
-import dillfront.simulation.Time;
+import dillfront.simulation.GossipSimulation;
+import dillfront.simulation.VirtualTimeScheduler;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
@@ -17,13 +17,13 @@
  */
 class GossipProtocolTest {
 
-    private final Time time = new Time();
+    private final VirtualTimeScheduler time = new VirtualTimeScheduler();
     private final Set<Integer> receivers = new HashSet<>();
-    private Crowd crowd;
+    private GossipSimulation crowd;
 
-    private Crowd crowd(int count, long seed) {
+    private GossipSimulation crowd(int count, long seed) {
         crowd =
-                new Crowd(
+                new GossipSimulation(
                         count,
                         GossipConfig.DEFAULT,
                         time,
@@ -37,22 +37,22 @@
     }
 
     private void until(double seconds) {
-        time.until(Duration.ofMillis((long) (seconds * 1000)));
+        time.runUntil(Duration.ofMillis((long) (seconds * 1000)));
     }
 
     private double bytesPerSecond(double seconds) {
-        double before = crowd.bytes();
+        double before = crowd.meanBytesSent();
         until(time.now().toMillis() / 1000.0 + seconds);
-        return (crowd.bytes() - before) / seconds;
+        return (crowd.meanBytesSent() - before) / seconds;
     }
 
     @Test
     void discoversAllInstancesAndSpreadsClaims() {
         crowd(20, 1);
         until(10);
-        assertEquals(1.0, crowd.known());
-        Crowd.Instance instance = crowd.instances[7];
-        instance.at();
+        assertEquals(1.0, crowd.knownFraction());
+        GossipSimulation.Instance instance = crowd.instances[7];
+        instance.updateClocks();
         instance.gossip.publishClaim(3, Symptom.HUNG, 4, Duration.ofMillis(80));
         until(10.1);
         assertEquals(19, receivers.size(), "all others receive the claim within 100 ms");
@@ -65,17 +65,17 @@
         crowd(100, 2);
         until(40);
         for (int i = 0; i < 30; i++) {
-            for (Crowd.Instance instance : crowd.instances) {
-                instance.at();
+            for (GossipSimulation.Instance instance : crowd.instances) {
+                instance.updateClocks();
                 instance.gossip.publishClaim(i, Symptom.HUNG, 4, Duration.ZERO);
             }
             until(40 + i);
         }
         // The initial content of the bucket plus its refill.
         assertTrue(
-                crowd.bytes() <= GossipConfig.DEFAULT.bytesPerSecond() * (70 + 3),
-                "sent " + crowd.bytes());
-        for (Crowd.Instance instance : crowd.instances) {
+                crowd.meanBytesSent() <= GossipConfig.DEFAULT.bytesPerSecond() * (70 + 3),
+                "sent " + crowd.meanBytesSent());
+        for (GossipSimulation.Instance instance : crowd.instances) {
             assertTrue(instance.gossip.queuedUpdates() <= 64);
         }
     }
@@ -85,33 +85,33 @@
         crowd(60, 3);
         until(40);
         for (int i = 0; i < 20; i++) {
-            crowd.instances[3 + i].off = true;
+            crowd.instances[3 + i].stopped = true;
         }
         until(70);
         assertTrue(
-                crowd.ghosts() < 0.05,
-                "crashed instances still considered present: " + crowd.ghosts());
-        assertEquals(1.0, crowd.known(), "no running instance is considered gone");
+                crowd.staleFraction() < 0.05,
+                "crashed instances still considered present: " + crowd.staleFraction());
+        assertEquals(1.0, crowd.knownFraction(), "no running instance is considered gone");
     }
 
     @Test
     void mergesAfterPartition() {
         crowd(40, 4);
         until(30);
-        for (Crowd.Instance instance : crowd.instances) {
-            instance.side = instance.index % 2;
+        for (GossipSimulation.Instance instance : crowd.instances) {
+            instance.partition = instance.index % 2;
         }
         until(80);
-        assertTrue(crowd.known() < 0.55);
-        for (Crowd.Instance instance : crowd.instances) {
-            instance.side = 0;
+        assertTrue(crowd.knownFraction() < 0.55);
+        for (GossipSimulation.Instance instance : crowd.instances) {
+            instance.partition = 0;
         }
         double healing = bytesPerSecond(20);
-        assertEquals(1.0, crowd.known(), "membership is complete within twenty periods");
+        assertEquals(1.0, crowd.knownFraction(), "membership is complete within twenty periods");
         assertTrue(
                 healing < GossipConfig.DEFAULT.bytesPerSecond(),
                 "traffic after the partition healed: " + healing);
-        for (Crowd.Instance instance : crowd.instances) {
+        for (GossipSimulation.Instance instance : crowd.instances) {
             assertTrue(instance.gossip.incarnation() <= 3, "incarnations rise only slightly");
         }
     }
@@ -120,16 +120,16 @@
     void rejoinsAfterRestartWithoutState() {
         crowd(20, 5);
         until(15);
-        Crowd.Instance instance = crowd.instances[9];
+        GossipSimulation.Instance instance = crowd.instances[9];
         for (int run = 0; run < 3; run++) {
-            instance.off = true;
+            instance.stopped = true;
             until(time.now().toSeconds() + 30);
             instance.start(List.of(0));
             until(time.now().toSeconds() + 15);
-            assertEquals(1.0, crowd.known(), "complete membership after restart " + run);
+            assertEquals(1.0, crowd.knownFraction(), "complete membership after restart " + run);
         }
         receivers.clear();
-        instance.at();
+        instance.updateClocks();
         instance.gossip.publishClaim(2, Symptom.HUNG, 1, Duration.ZERO);
         until(time.now().toSeconds() + 2);
         assertEquals(
@@ -142,11 +142,11 @@
     void pausedInstanceDeclaresNoPeerGone() {
         crowd(20, 6);
         until(15);
-        Crowd.Instance instance = crowd.instances[4];
-        instance.standStill(Duration.ofSeconds(5));
+        GossipSimulation.Instance instance = crowd.instances[4];
+        instance.pause(Duration.ofSeconds(5));
         until(21);
         int missing = 0;
-        for (Crowd.Instance other : crowd.instances) {
+        for (GossipSimulation.Instance other : crowd.instances) {
             missing +=
                     other != instance && !instance.gossip.membership().isPresent(other.index)
                             ? 1
@@ -157,19 +157,19 @@
                 instance.gossip.membership().healthScore() > 0,
                 "the pause raises its local health score");
         until(50);
-        assertEquals(1.0, crowd.known(), "the paused instance is present again");
+        assertEquals(1.0, crowd.knownFraction(), "the paused instance is present again");
     }
 
     @Test
     void toleratesLossyNetwork() {
         crowd = crowd(30, 7);
-        crowd.lost = 0.3;
-        crowd.doubled = 0.1;
+        crowd.lossRate = 0.3;
+        crowd.duplicateRate = 0.1;
         until(40);
         double minKnown = 1;
         for (int s = 41; s < 160; s++) {
             until(s);
-            minKnown = Math.min(minKnown, crowd.known());
+            minKnown = Math.min(minKnown, crowd.knownFraction());
         }
         assertTrue(minKnown > 0.97, "minimum known part: " + minKnown);
     }
@@ -177,7 +177,7 @@
     @Test
     void toleratesClockDifferences() {
         crowd =
-                new Crowd(
+                new GossipSimulation(
                         12,
                         GossipConfig.DEFAULT,
                         time,
@@ -187,24 +187,24 @@
                             assertTrue(age.compareTo(Duration.ofSeconds(1)) < 0, "age " + age);
                             crowd.instances[at].gossip.forward(claim, claim.origin());
                         });
-        for (Crowd.Instance instance : crowd.instances) {
-            instance.clock = Duration.ofSeconds(instance.index - 6);
+        for (GossipSimulation.Instance instance : crowd.instances) {
+            instance.clockOffset = Duration.ofSeconds(instance.index - 6);
         }
         // Beyond the accepted clock difference.
-        crowd.instances[11].clock = Duration.ofSeconds(50);
+        crowd.instances[11].clockOffset = Duration.ofSeconds(50);
         crowd.start();
         until(10);
-        crowd.instances[0].at();
+        crowd.instances[0].updateClocks();
         crowd.instances[0].gossip.publishClaim(1, Symptom.HUNG, 1, Duration.ZERO);
         until(12);
         assertEquals(10, receivers.size(), "all except the instance with the wrong clock");
         receivers.clear();
-        crowd.instances[11].at();
+        crowd.instances[11].updateClocks();
         crowd.instances[11].gossip.publishClaim(1, Symptom.HUNG, 1, Duration.ZERO);
         until(14);
         assertEquals(0, receivers.size());
         long dropped = 0;
-        for (Crowd.Instance instance : crowd.instances) {
+        for (GossipSimulation.Instance instance : crowd.instances) {
             dropped += instance.gossip.outdatedClaims();
         }
         assertTrue(dropped > 1, "dropped claims are counted by the receivers");
@@ -214,11 +214,11 @@
     void announcesShutdown() {
         crowd(15, 9);
         until(10);
-        crowd.instances[5].at();
+        crowd.instances[5].updateClocks();
         crowd.instances[5].gossip.leave();
-        crowd.instances[5].off = true;
+        crowd.instances[5].stopped = true;
         until(14);
-        for (Crowd.Instance other : crowd.instances) {
+        for (GossipSimulation.Instance other : crowd.instances) {
             if (other.index != 5) {
                 assertEquals(MembershipList.State.LEFT, other.gossip.membership().state(5));
             }
@@ -233,7 +233,7 @@
             claims[i].nodes(8);
         }
         crowd =
-                new Crowd(
+                new GossipSimulation(
                         claims.length,
                         GossipConfig.DEFAULT,
                         time,
@@ -251,21 +251,21 @@
                         });
         crowd.start();
         until(10);
-        for (Crowd.Instance instance : crowd.instances) {
-            instance.side = instance.index % 2;
+        for (GossipSimulation.Instance instance : crowd.instances) {
+            instance.partition = instance.index % 2;
         }
         // Each side claims that one node is hung, until the partition heals.
         for (int s = 11; s < 60; s++) {
             until(s);
             for (int i = 0; i < 8; i++) {
-                crowd.instances[i].at();
+                crowd.instances[i].updateClocks();
                 crowd.instances[i].gossip.publishClaim(
                         1 + i % 2, Symptom.HUNG, 1, Duration.ofSeconds(s - 11));
             }
         }
         assertTrue(claims[18].isSuspected(1) && !claims[18].isSuspected(2));
-        for (Crowd.Instance instance : crowd.instances) {
-            instance.side = 0;
+        for (GossipSimulation.Instance instance : crowd.instances) {
+            instance.partition = 0;
         }
         until(60 + GossipConfig.DEFAULT.claimValidity().toSeconds());
         for (PeerClaims instance : claims) {
@@ -291,7 +291,7 @@
         GossipConfig slow =
                 new GossipConfig(Duration.ofSeconds(10), 3000, 1200, 1, Duration.ofSeconds(50));
         crowd =
-                new Crowd(
+                new GossipSimulation(
                         10,
                         slow,
                         time,
@@ -303,32 +303,33 @@
         long node = 0;
         for (int minute = 1; minute <= 24 * 60; minute++) {
             until(60 * minute);
-            Crowd.Instance instance = crowd.instances[minute % 10];
+            GossipSimulation.Instance instance = crowd.instances[minute % 10];
             if (minute % 7 == 0) {
                 instance.start(List.of((minute + 1) % 10));
             }
-            instance.at();
+            instance.updateClocks();
             // Nodes change all the time: a new node id in each claim.
             instance.gossip.publishClaim(node++, Symptom.UNREACHABLE, 1, Duration.ZERO);
-            for (Crowd.Instance each : crowd.instances) {
+            for (GossipSimulation.Instance each : crowd.instances) {
                 maxRemembered = Math.max(maxRemembered, each.gossip.rememberedClaims());
                 assertTrue(each.gossip.queuedUpdates() <= 64);
             }
         }
         assertTrue(maxRemembered <= 9 * 32, "remembered " + maxRemembered);
         until(24 * 3600 + 200);
-        assertEquals(1.0, crowd.known());
+        assertEquals(1.0, crowd.knownFraction());
     }
 
     @Test
     void sameSeedSendsSameBytes() {
         crowd(30, 10);
         until(30);
-        double first = crowd.bytes();
-        Time again = new Time();
-        Crowd second = new Crowd(30, GossipConfig.DEFAULT, again, 10, (at, claim, age) -> {});
+        double first = crowd.meanBytesSent();
+        VirtualTimeScheduler again = new VirtualTimeScheduler();
+        GossipSimulation second =
+                new GossipSimulation(30, GossipConfig.DEFAULT, again, 10, (at, claim, age) -> {});
         second.start();
-        again.until(Duration.ofSeconds(30));
-        assertEquals(first, second.bytes());
+        again.runUntil(Duration.ofSeconds(30));
+        assertEquals(first, second.meanBytesSent());
     }
 }
--- a/src/test/java/dillfront/router/identity/RightsTest.java
+++ b/src/test/java/dillfront/router/identity/RightsTest.java
@@ -21,13 +21,19 @@
     private static final Rights HOTEL =
             new Rights(
                     List.of(
-                            Rule.of(true, 0b0111, "r", Rule.ANY, "hotel-7/", "rule 1"),
+                            Rule.of(true, 0b0111, "r", Rule.ANY_GROUP, "hotel-7/", "rule 1"),
                             Rule.of(true, 0b1000, "w", 2, "hotel-7/bar/", "rule 2"),
-                            Rule.of(false, Rule.ALL, "rw", Rule.ANY, "hotel-7/safe", "rule 3"),
-                            Rule.of(true, 0b0010, "r", Rule.ANY, "", "rule 4")));
+                            Rule.of(
+                                    false,
+                                    Rule.ALL_TYPES,
+                                    "rw",
+                                    Rule.ANY_GROUP,
+                                    "hotel-7/safe",
+                                    "rule 3"),
+                            Rule.of(true, 0b0010, "r", Rule.ANY_GROUP, "", "rule 4")));
 
     @Test
-    void prefixesAndTheirNeighbours() {
+    void matchesPrefixButNoSimilarKey() {
         assertEquals(Verdict.ALLOWED, HOTEL.verdict(0, false, 0, key("hotel-7/rooms")));
         assertEquals(Verdict.ALLOWED, HOTEL.verdict(0, false, 0, key("hotel-7/")));
         for (String neighbour :
@@ -46,7 +52,7 @@
     }
 
     @Test
-    void typesAccessAndGroups() {
+    void checksTypeAccessAndGroup() {
         assertEquals(
                 Verdict.NO_RULE,
                 HOTEL.verdict(0, true, 0, key("hotel-7/rooms")),
@@ -60,48 +66,48 @@
     }
 
     @Test
-    void denialGoesOverAllowance() {
+    void denialOverridesAllowance() {
         assertEquals(Verdict.DENIED, HOTEL.verdict(1, false, 0, key("hotel-7/safe/9")));
-        assertEquals("rule 3", HOTEL.cause(1, false, 0, key("hotel-7/safe/9")));
+        assertEquals("rule 3", HOTEL.decidingRule(1, false, 0, key("hotel-7/safe/9")));
         assertEquals(Verdict.ALLOWED, HOTEL.verdict(1, false, 0, key("other")));
-        assertEquals("rule 4", HOTEL.cause(1, false, 0, key("other")));
-        assertEquals("no rule allows it", HOTEL.cause(0, false, 0, key("other")));
+        assertEquals("rule 4", HOTEL.decidingRule(1, false, 0, key("other")));
+        assertEquals("no rule allows it", HOTEL.decidingRule(0, false, 0, key("other")));
         assertEquals(Verdict.NO_RULE, Rights.NONE.verdict(0, false, 0, key("")));
     }
 
     /** Few letters, so that prefixes meet, split and end within each other. */
-    private static String some(SplittableRandom chance, int most) {
+    private static String randomText(SplittableRandom random, int maxLength) {
         StringBuilder text = new StringBuilder();
-        for (int i = chance.nextInt(most + 1); i > 0; i--) {
-            text.append("ab\u00fc/".charAt(chance.nextInt(4)));
+        for (int i = random.nextInt(maxLength + 1); i > 0; i--) {
+            text.append("ab\u00fc/".charAt(random.nextInt(4)));
         }
         return text.toString();
     }
 
     @Property(tries = 400, seed = "31")
-    void theIndexSaysWhatTheRulesSay(@ForAll long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void treeAgreesWithScan(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         List<Rule> rules = new ArrayList<>();
-        for (int i = chance.nextInt(40); i > 0; i--) {
+        for (int i = random.nextInt(40); i > 0; i--) {
             rules.add(
                     Rule.of(
-                            chance.nextInt(4) > 0,
-                            chance.nextInt(8) == 0
-                                    ? Rule.ALL
-                                    : 1 << chance.nextInt(4) | 1 << chance.nextInt(32),
-                            List.of("r", "w", "rw").get(chance.nextInt(3)),
-                            chance.nextInt(3) - 1,
-                            some(chance, 5),
+                            random.nextInt(4) > 0,
+                            random.nextInt(8) == 0
+                                    ? Rule.ALL_TYPES
+                                    : 1 << random.nextInt(4) | 1 << random.nextInt(32),
+                            List.of("r", "w", "rw").get(random.nextInt(3)),
+                            random.nextInt(3) - 1,
+                            randomText(random, 5),
                             "rule " + i));
         }
         Rights rights = new Rights(rules);
         for (int i = 0; i < 60; i++) {
-            int type = chance.nextInt(chance.nextInt(8) == 0 ? 32 : 4);
-            boolean write = chance.nextBoolean();
-            int group = chance.nextInt(3);
-            KeyBytes key = key(some(chance, 8));
+            int type = random.nextInt(random.nextInt(8) == 0 ? 32 : 4);
+            boolean write = random.nextBoolean();
+            int group = random.nextInt(3);
+            KeyBytes key = key(randomText(random, 8));
             assertEquals(
-                    rights.plainly(type, write, group, key),
+                    rights.verdictByScan(type, write, group, key),
                     rights.verdict(type, write, group, key));
         }
     }
--- a/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
+++ b/src/test/java/dillfront/router/memory/RouterStateStoreTest.java
@@ -8,7 +8,7 @@
 import dillfront.common.storage.CompactingLog;
 import dillfront.common.storage.KeyValueStore;
 import dillfront.common.storage.StorageFolder;
-import dillfront.router.operator.Operator;
+import dillfront.router.operator.OperatorConfig;
 import dillfront.routing.api.MemberState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -599,17 +599,17 @@
         first.nodeClosed("s-2", MemberState.GONE, 0, 43);
         first.nodeClosed("s-3", MemberState.GONE, 0, 44);
         first.nodeOpened("s-3");
-        Operator.BadOperator lockedFailure =
+        OperatorConfig.InvalidOperatorConfigException lockedFailure =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> RouterStateStore.open(folder, "r1", log, Runnable::run));
         assertTrue(
                 lockedFailure.getMessage().contains("another process holds"),
                 lockedFailure.getMessage());
         first.close();
-        Operator.BadOperator otherNameFailure =
+        OperatorConfig.InvalidOperatorConfigException otherNameFailure =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> RouterStateStore.open(folder, "r2", log, Runnable::run));
         assertTrue(
                 otherNameFailure.getMessage().contains("is that of router 'r1', and this is 'r2'"),
@@ -637,9 +637,9 @@
                                 "memory-broken fault=\"" + folder.resolve(CompactingLog.FILE_NAME)),
                 lines.toString(StandardCharsets.UTF_8));
         Path file = Files.createFile(dir.resolve("file"));
-        Operator.BadOperator none =
+        OperatorConfig.InvalidOperatorConfigException none =
                 assertThrows(
-                        Operator.BadOperator.class,
+                        OperatorConfig.InvalidOperatorConfigException.class,
                         () -> RouterStateStore.open(file, "r1", log, Runnable::run));
         assertTrue(none.getMessage().startsWith("memory " + file), none.getMessage());
     }
--- a/src/test/java/dillfront/router/operator/OperatorTest.java
+++ b/src/test/java/dillfront/router/operator/OperatorConfigTest.java
@@ -18,28 +18,30 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What the operator's file says, and what is wrong with it. */
-class OperatorTest {
+class OperatorConfigTest {
 
-    private static final String A =
+    private static final String PUBLIC_KEY_A =
             "d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a";
-    private static final String B =
+    private static final String PUBLIC_KEY_B =
             "3d4017c3e843895a92b70aa74d1b7ebc9c982ccf2ec4968cc0cd55f12af4660c";
 
-    private static String fault(String text) {
-        return assertThrows(Operator.BadOperator.class, () -> Operator.read("f.star", text))
+    private static String errorOf(String text) {
+        return assertThrows(
+                        OperatorConfig.InvalidOperatorConfigException.class,
+                        () -> OperatorConfig.read("f.star", text))
                 .getMessage();
     }
 
     @Test
-    void withoutAFileNothingIsOn() throws Exception {
-        assertSame(Operator.NONE, Operator.of(Map.of()));
-        assertNull(Operator.read("f.star", "# nothing\n").gossip());
+    void disablesFeaturesWithoutFile() throws Exception {
+        assertSame(OperatorConfig.NONE, OperatorConfig.fromEnvironment(Map.of()));
+        assertNull(OperatorConfig.read("f.star", "# nothing\n").gossip());
     }
 
     @Test
-    void saysWhatIsOn() throws Exception {
-        Operator said =
-                Operator.read(
+    void readsGossipAndControl() throws Exception {
+        OperatorConfig config =
+                OperatorConfig.read(
                         "f.star",
                         """
                 KEYS = {"r1": "%s", "r2": "%s"}
@@ -49,24 +51,31 @@
                          "from": "2026-12-01T00:00:00Z", "until": "2027-01-01T00:00:00Z"}])
                 control("127.0.0.1:9946")
                 """
-                                .formatted(A, B));
-        assertEquals(Duration.ofMillis(500), said.gossip().tuning().period());
-        assertEquals(3000, said.gossip().tuning().bytesPerSecond());
-        assertEquals(2, said.gossip().ring().size());
-        assertEquals(0, said.gossip().self("r1"));
+                                .formatted(PUBLIC_KEY_A, PUBLIC_KEY_B));
+        assertEquals(Duration.ofMillis(500), config.gossip().tuning().period());
+        assertEquals(3000, config.gossip().tuning().bytesPerSecond());
+        assertEquals(2, config.gossip().ring().size());
+        assertEquals(0, config.gossip().selfIndex("r1"));
         assertEquals(
                 "'public' of gossip() is none of the keys of peer 'r2'",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().self("r2"))
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> config.gossip().selfIndex("r2"))
                         .getMessage());
-        assertEquals(9946, said.control().getPort());
+        assertEquals(9946, config.controlAddress().getPort());
         assertEquals(
                 "no peer is called 'r3', as this instance is",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().self("r3"))
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> config.gossip().selfIndex("r3"))
                         .getMessage());
         assertEquals(
                 "key r1.key: no such file",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
-        assertEquals(0, said.gossip().ring().peer(PeerRegistry.hash("r1")));
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> config.gossip().privateKey())
+                        .getMessage());
+        assertEquals(0, config.gossip().ring().peer(PeerRegistry.hash("r1")));
     }
 
     @ParameterizedTest
@@ -85,36 +94,36 @@
                 "peer(\"a\", keys = []);f.star:1:11: peer 'a' has no key",
                 "peer(\"a\", address = \"here\", keys = [\"x\"]);f.star:1:11: 'here' is no address: expected an IPv4 address and a port, as 10.0.0.4:7946"
             })
-    void faults(String text, String fault) {
-        assertEquals(fault, fault(text));
+    void reportsPlaceAndError(String text, String message) {
+        assertEquals(message, errorOf(text));
     }
 
     @Test
-    void peersThatDoNotFit() {
-        String one = "peer(\"a\", keys = [\"" + A + "\"])\n";
-        assertEquals("f.star: peers, but no gossip(): nothing would be on", fault(one));
+    void rejectsInconsistentPeers() {
+        String one = "peer(\"a\", keys = [\"" + PUBLIC_KEY_A + "\"])\n";
+        assertEquals("f.star: peers, but no gossip(): nothing would be on", errorOf(one));
         assertEquals(
                 "f.star:2:1: peer 'a' is named twice",
-                fault(
+                errorOf(
                         one
                                 + one.replace("keys = ", "keys=")
                                         .replace("peer(\"a\", keys=", "peer(\"a\", None, ")));
         assertEquals(
                 "f.star:2:11: a key of peer 'b' is there twice",
-                fault(one + one.replace("\"a\"", "\"b\"")));
+                errorOf(one + one.replace("\"a\"", "\"b\"")));
         assertEquals(
                 "f.star: liars = 1 of 2 peers: expected a third at the most",
-                fault(
+                errorOf(
                         one
                                 + "peer(\"b\", keys = [\""
-                                + B
+                                + PUBLIC_KEY_B
                                 + "\"])\ngossip(key = \"k\", public = \""
-                                + A
+                                + PUBLIC_KEY_A
                                 + "\")\n"));
     }
 
     @Test
-    void aKeyOfSomeoneElse(@TempDir Path folder) throws Exception {
+    void rejectsKeyFileOfAnotherInstance(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("r1.key");
         Files.writeString(
                 file,
@@ -126,22 +135,28 @@
                                                 .getPrivate()
                                                 .getEncoded())
                         + "\n-----END PRIVATE KEY-----\n");
-        Operator said =
-                Operator.read(
+        OperatorConfig config =
+                OperatorConfig.read(
                         "f.star",
                         """
                 gossip(key = "%s", public = "%s", liars = 0)
                 peer("r1", address = "10.0.0.1:7946", keys = ["%s"])
                 peer("r2", keys = ["%s"])
                 """
-                                .formatted(file, A, A, B));
-        assertEquals(0, said.gossip().self("r1"));
+                                .formatted(file, PUBLIC_KEY_A, PUBLIC_KEY_A, PUBLIC_KEY_B));
+        assertEquals(0, config.gossip().selfIndex("r1"));
         assertEquals(
                 "key " + file + ": does not belong to 'public' of gossip()",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> config.gossip().privateKey())
+                        .getMessage());
         Files.writeString(file, "half of it");
         assertEquals(
                 "key " + file + ": no Ed25519 key as `dillfront keygen` writes it",
-                assertThrows(Operator.BadOperator.class, () -> said.gossip().key()).getMessage());
+                assertThrows(
+                                OperatorConfig.InvalidOperatorConfigException.class,
+                                () -> config.gossip().privateKey())
+                        .getMessage());
     }
 }
--- a/src/test/java/dillfront/router/pgwire/KeyTest.java
+++ b/src/test/java/dillfront/router/pgwire/KeyTest.java
@@ -49,7 +49,7 @@
         assertEquals(true, hasNoQuote);
         byte[] readKey = new byte[statement.length()];
         for (int i = 0; i < readKey.length; i++) {
-            readKey[i] = statement.at(i);
+            readKey[i] = statement.byteAt(i);
         }
         assertArrayEquals(key, readKey, Arrays.toString(readKey));
     }
--- a/src/test/java/dillfront/router/script/ScriptTest.java
+++ b/src/test/java/dillfront/router/script/ScriptInterpreterTest.java
@@ -15,25 +15,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Scripts, what they say, and where they go wrong. */
-class ScriptTest {
+class ScriptInterpreterTest {
 
     private static String run(String text) {
-        List<String> said = new ArrayList<>();
+        List<String> output = new ArrayList<>();
         try {
-            Script.run(
+            ScriptInterpreter.run(
                     text,
                     Map.of(
                             "say",
-                            given -> {
-                                Object what = given.take("what");
-                                given.done();
-                                said.add(what instanceof String s ? s : Script.shown(what));
+                            arguments -> {
+                                Object value = arguments.take("what");
+                                arguments.requireAllTaken();
+                                output.add(
+                                        value instanceof String s
+                                                ? s
+                                                : ScriptInterpreter.describe(value));
                                 return null;
                             }));
-        } catch (ScriptError bad) {
-            said.add(bad.line() + ":" + bad.column() + " " + bad.getMessage());
+        } catch (ScriptException e) {
+            output.add(e.line() + ":" + e.column() + " " + e.getMessage());
         }
-        return String.join("|", said);
+        return String.join("|", output);
     }
 
     @ParameterizedTest
@@ -56,12 +59,12 @@
                 "len({\"a\": 1, \"b\": 2}.items()); 2",
                 "str([1]) + str(None); a list of 1None"
             })
-    void values(String value, String is) {
-        assertEquals(is, run("say(" + value + ")"));
+    void evaluatesExpressions(String expression, String expected) {
+        assertEquals(expected, run("say(" + expression + ")"));
     }
 
     @Test
-    void steps() {
+    void executesStatements() {
         assertEquals(
                 "0|6|done 3",
                 run(
@@ -112,12 +115,12 @@
                 "say(1 < 2 < 3);1:11 comparisons in a row: use brackets and 'and'",
                 "say(\"\\q\");1:7 expected one of n t \\ \" ' behind \\"
             })
-    void faults(String text, String fault) {
-        assertEquals(fault, run(text));
+    void reportsPlaceAndError(String text, String message) {
+        assertEquals(message, run(text));
     }
 
     @Test
-    void blocksThatDoNotFit() {
+    void rejectsInvalidIndentation() {
         assertEquals(
                 "3:3 this line's indentation is that of no block above",
                 run("if 1:\n    a = 1\n  b = 2\n"));
@@ -126,7 +129,7 @@
     }
 
     @Test
-    void whatDoesNotEnd() {
+    void boundsStepsSizesAndNesting() {
         assertTrue(
                 run("""
                 for a in range(100000):
@@ -150,10 +153,10 @@
     }
 
     @Property(tries = 500, seed = "21")
-    void whateverIsWritten(
+    void anyTextRunsOrFailsWithScriptException(
             @ForAll @StringLength(max = 60) @CharRange(from = ' ', to = '~') String text) {
         // Ends, with something said or a place named; nothing else is thrown.
-        String once = run(text.replace('~', '\n'));
-        assertEquals(once, run(text.replace('~', '\n')));
+        String firstRun = run(text.replace('~', '\n'));
+        assertEquals(firstRun, run(text.replace('~', '\n')));
     }
 }
--- a/src/test/java/dillfront/router/tokens/TokensTest.java
+++ b/src/test/java/dillfront/router/tokens/TokenVerifierTest.java
@@ -19,7 +19,7 @@
 import com.nimbusds.jose.jwk.gen.RSAKeyGenerator;
 import com.nimbusds.jwt.JWTClaimsSet;
 import com.nimbusds.jwt.SignedJWT;
-import dillfront.router.identity.Gate;
+import dillfront.router.identity.AccessController;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.Date;
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tokens that are right, and the ways in which they are not. */
-class TokensTest {
+class TokenVerifierTest {
 
     private static final ECKey EC = ec("k1");
     private static final ECKey OTHER = ec("k1");
@@ -44,21 +44,21 @@
                     .keyID(id)
                     .algorithm(JWSAlgorithm.ES256)
                     .generate();
-        } catch (com.nimbusds.jose.JOSEException none) {
-            throw new IllegalStateException(none);
+        } catch (com.nimbusds.jose.JOSEException e) {
+            throw new IllegalStateException(e);
         }
     }
 
     private static RSAKey rsa() {
         try {
             return new RSAKeyGenerator(2048).keyID("k2").algorithm(JWSAlgorithm.RS256).generate();
-        } catch (com.nimbusds.jose.JOSEException none) {
-            throw new IllegalStateException(none);
+        } catch (com.nimbusds.jose.JOSEException e) {
+            throw new IllegalStateException(e);
         }
     }
 
-    private static Tokens tokens() throws Exception {
-        return new Tokens(
+    private static TokenVerifier verifier() throws Exception {
+        return new TokenVerifier(
                 new JWKSet(List.of(EC.toPublicJWK(), RSA.toPublicJWK())).toString(),
                 "depot",
                 "dillfront");
@@ -74,10 +74,10 @@
                 .expirationTime(new Date(2_000_000));
     }
 
-    private static String sign(JWSHeader header, JWTClaimsSet claims, JWSSigner by)
+    private static String sign(JWSHeader header, JWTClaimsSet claims, JWSSigner signer)
             throws Exception {
         SignedJWT jwt = new SignedJWT(header, claims);
-        jwt.sign(by);
+        jwt.sign(signer);
         return jwt.serialize();
     }
 
@@ -85,8 +85,10 @@
         return new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("k1").type(JOSEObjectType.JWT);
     }
 
-    private static String fault(String token) {
-        return assertThrows(Tokens.BadToken.class, () -> tokens().read(token)).getMessage();
+    private static String errorOf(String token) {
+        return assertThrows(
+                        TokenVerifier.InvalidTokenException.class, () -> verifier().verify(token))
+                .getMessage();
     }
 
     private static String base64(String text) {
@@ -96,23 +98,24 @@
     }
 
     @Test
-    void saysWhoItIs() throws Exception {
-        Gate.Credential said =
-                tokens().read(sign(es256().build(), claims().build(), new ECDSASigner(EC)));
+    void returnsClaimsOfValidToken() throws Exception {
+        AccessController.Credential credential =
+                verifier().verify(sign(es256().build(), claims().build(), new ECDSASigner(EC)));
         assertEquals(
                 "billing-7 k1 t-1 PT16M40S PT33M20S",
-                said.principal()
+                credential.principal()
                         + " "
-                        + said.key()
+                        + credential.key()
                         + " "
-                        + said.id()
+                        + credential.id()
                         + " "
-                        + said.notBefore()
+                        + credential.notBefore()
                         + " "
-                        + said.expires());
+                        + credential.expires());
         assertEquals(
                 "k2",
-                tokens().read(
+                verifier()
+                        .verify(
                                 sign(
                                         new JWSHeader.Builder(JWSAlgorithm.RS256)
                                                 .keyID("k2")
@@ -120,27 +123,27 @@
                                         claims().build(),
                                         new RSASSASigner(RSA)))
                         .key());
-        assertEquals(Set.of("k1", "k2"), tokens().ids());
+        assertEquals(Set.of("k1", "k2"), verifier().keyIds());
     }
 
     @Test
-    void theAlgorithmIsTheKeys() throws Exception {
+    void rejectsAlgorithmOtherThanThatOfKey() throws Exception {
         String claims = claims().build().toString();
         assertTrue(
-                fault(base64("{\"alg\":\"none\",\"kid\":\"k1\"}") + "." + base64(claims) + ".")
+                errorOf(base64("{\"alg\":\"none\",\"kid\":\"k1\"}") + "." + base64(claims) + ".")
                         .startsWith("no signed token"));
         // The public key as a shared secret.
         byte[] secret = EC.toPublicJWK().toJSONString().getBytes(StandardCharsets.UTF_8);
         assertEquals(
                 "the key is for ES256, the token says HS256",
-                fault(
+                errorOf(
                         sign(
                                 new JWSHeader.Builder(JWSAlgorithm.HS256).keyID("k1").build(),
                                 claims().build(),
                                 new MACSigner(secret))));
         assertEquals(
                 "the key is for RS256, the token says PS256",
-                fault(
+                errorOf(
                         sign(
                                 new JWSHeader.Builder(JWSAlgorithm.PS256).keyID("k2").build(),
                                 claims().build(),
@@ -148,19 +151,19 @@
     }
 
     @Test
-    void othersKeysAndHeaders() throws Exception {
+    void rejectsUnknownKeysAndCriticalHeaders() throws Exception {
         assertEquals(
                 "the signature is not right",
-                fault(sign(es256().build(), claims().build(), new ECDSASigner(OTHER))));
+                errorOf(sign(es256().build(), claims().build(), new ECDSASigner(OTHER))));
         assertEquals(
                 "signed by no key of ours",
-                fault(sign(es256().keyID("k9").build(), claims().build(), new ECDSASigner(EC))));
+                errorOf(sign(es256().keyID("k9").build(), claims().build(), new ECDSASigner(EC))));
         assertEquals(
                 "signed by no key of ours",
-                fault(sign(es256().keyID(null).build(), claims().build(), new ECDSASigner(EC))));
+                errorOf(sign(es256().keyID(null).build(), claims().build(), new ECDSASigner(EC))));
         assertEquals(
                 "critical headers, of which none is known here",
-                fault(
+                errorOf(
                         sign(
                                 es256().criticalParams(Set.of("exp2"))
                                         .customParam("exp2", 1)
@@ -170,42 +173,42 @@
     }
 
     @Test
-    void whatItSaysMustBeAllThere() throws Exception {
-        ECDSASigner by = new ECDSASigner(EC);
+    void rejectsMismatchedOrMissingClaims() throws Exception {
+        ECDSASigner signer = new ECDSASigner(EC);
         assertEquals(
                 "another issuer",
-                fault(sign(es256().build(), claims().issuer("depot2").build(), by)));
+                errorOf(sign(es256().build(), claims().issuer("depot2").build(), signer)));
         assertEquals(
                 "for another audience",
-                fault(sign(es256().build(), claims().audience("other").build(), by)));
+                errorOf(sign(es256().build(), claims().audience("other").build(), signer)));
         assertEquals(
                 "lacks sub, exp or jti",
-                fault(sign(es256().build(), claims().jwtID(null).build(), by)));
+                errorOf(sign(es256().build(), claims().jwtID(null).build(), signer)));
         assertEquals(
                 "lacks sub, exp or jti",
-                fault(sign(es256().build(), claims().expirationTime(null).build(), by)));
+                errorOf(sign(es256().build(), claims().expirationTime(null).build(), signer)));
     }
 
     @Test
-    void largeAndDeep() {
-        assertEquals("longer than 8192 characters", fault("a".repeat(1 << 20)));
+    void rejectsOversizedAndDeeplyNestedTokens() {
+        assertEquals("longer than 8192 characters", errorOf("a".repeat(1 << 20)));
         for (String open : List.of("[", "{\"a\":")) {
             String deep = open.repeat(400);
             assertTrue(
-                    fault(
+                    errorOf(
                                     base64("{\"alg\":\"ES256\",\"kid\":\"k1\",\"x\":" + deep)
                                             + "."
                                             + base64(deep)
                                             + ".AAAA")
                             .startsWith("no signed token"));
         }
-        assertTrue(fault("").startsWith("no signed token"));
-        assertTrue(fault("a.b.c").startsWith("no signed token"));
+        assertTrue(errorOf("").startsWith("no signed token"));
+        assertTrue(errorOf("a.b.c").startsWith("no signed token"));
     }
 
     @Test
-    void keySets() {
-        for (Map.Entry<String, String> one :
+    void rejectsInvalidKeySets() {
+        for (Map.Entry<String, String> keySetAndError :
                 Map.of(
                                 "",
                                 "no key set",
@@ -230,28 +233,30 @@
                                 "{\"keys\":[" + EC.toPublicJWK().toJSONString().substring(0, 60),
                                 "no key set")
                         .entrySet()) {
-            String fault =
+            String message =
                     assertThrows(
-                                    Tokens.BadToken.class,
-                                    () -> new Tokens(one.getKey(), "depot", "dillfront"))
+                                    TokenVerifier.InvalidTokenException.class,
+                                    () ->
+                                            new TokenVerifier(
+                                                    keySetAndError.getKey(), "depot", "dillfront"))
                             .getMessage();
-            assertTrue(fault.startsWith(one.getValue()), fault);
+            assertTrue(message.startsWith(keySetAndError.getValue()), message);
         }
     }
 
     @Property(tries = 200, seed = "41")
-    void oneLetterOffIsNothing(
+    void rejectsTokenWithOneChangedCharacter(
             @ForAll @IntRange(min = 0, max = 100_000) int place,
-            @ForAll @IntRange(min = 1, max = 63) int by)
+            @ForAll @IntRange(min = 1, max = 63) int shift)
             throws Exception {
-        String letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+        String alphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
         String token = sign(es256().build(), claims().build(), new ECDSASigner(EC));
         int at = place % (token.length() - 1);
-        int was = letters.indexOf(token.charAt(at));
+        int index = alphabet.indexOf(token.charAt(at));
         String changed =
                 token.substring(0, at)
-                        + (was < 0 ? "A" : letters.charAt((was + by) % 64))
+                        + (index < 0 ? "A" : alphabet.charAt((index + shift) % 64))
                         + token.substring(at + 1);
-        assertThrows(Tokens.BadToken.class, () -> tokens().read(changed));
+        assertThrows(TokenVerifier.InvalidTokenException.class, () -> verifier().verify(changed));
     }
 }
--- a/src/test/java/dillfront/simulation/system/RecordedMessages.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessages.java
@@ -28,43 +28,45 @@
     static final Path FOLDER = Path.of("src/test/resources/messages");
     static final Path DIGESTS = FOLDER.resolve("day-digests.txt");
     static final Path EXAMPLES = FOLDER.resolve("system-messages.txt");
-    static final Path TEXTS = FOLDER.resolve("http-and-lines.txt");
-    private static final int RANDOM_DAYS = 12;
-    private static final int WORST_DAYS = 24;
+    static final Path TEXT_MESSAGES = FOLDER.resolve("http-and-lines.txt");
+    private static final int RANDOM_RUNS = 12;
+    private static final int WORST_CASE_RUNS = 24;
 
     private RecordedMessages() {}
 
     /** The days whose messages are kept, by name; not yet played. */
-    static Map<String, Day> days() {
-        Map<String, Day> days = new TreeMap<>();
-        for (long seed = 1; seed <= RANDOM_DAYS; seed++) {
-            Day day = new Day(seed, 2, 2, 9, 24_000);
-            day.random();
-            days.put("random-" + seed, day);
+    static Map<String, SystemSimulation> simulations() {
+        Map<String, SystemSimulation> simulations = new TreeMap<>();
+        for (long seed = 1; seed <= RANDOM_RUNS; seed++) {
+            SystemSimulation simulation = new SystemSimulation(seed, 2, 2, 9, 24_000);
+            simulation.addRandomFaults();
+            simulations.put("random-" + seed, simulation);
         }
-        for (long seed = 1; seed <= WORST_DAYS; seed++) {
-            days.put("worst-" + seed, ControlMeasure.day(seed));
+        for (long seed = 1; seed <= WORST_CASE_RUNS; seed++) {
+            simulations.put("worst-" + seed, ControlMeasure.scheduleOf(seed));
         }
-        return days;
+        return simulations;
     }
 
     /**
      * Plays the day; a digest over the time, the ends and the bytes of each message, and how many
      * there were.
      */
-    static String digest(Day day, Sim.Tap also) {
+    static String runAndDigest(SystemSimulation simulation, Simulator.MessageObserver observer) {
         MessageDigest digest = sha256();
         long[] count = new long[1];
-        day.sim.tap =
+        simulation.simulator.messageObserver =
                 (from, to, kind, message) -> {
                     count[0]++;
-                    digest.update(ByteBuffer.allocate(Long.BYTES).putLong(0, day.sim.micros()));
+                    digest.update(
+                            ByteBuffer.allocate(Long.BYTES)
+                                    .putLong(0, simulation.simulator.micros()));
                     digest.update(
                             (from + '>' + to + ' ' + kind + '\n').getBytes(StandardCharsets.UTF_8));
                     digest.update(message);
-                    also.sent(from, to, kind, message);
+                    observer.onSent(from, to, kind, message);
                 };
-        day.play();
+        simulation.run();
         return count[0] + " " + HexFormat.of().formatHex(digest.digest());
     }
 
@@ -83,9 +85,9 @@
     static TreeSet<String> shape(Object value, String path) {
         TreeSet<String> shape = new TreeSet<>();
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, one) -> shape.addAll(shape(one, path + "/" + name)));
+            map.forEach((name, element) -> shape.addAll(shape(element, path + "/" + name)));
         } else if (value instanceof List<?> list) {
-            list.forEach(one -> shape.addAll(shape(one, path + "[]")));
+            list.forEach(element -> shape.addAll(shape(element, path + "[]")));
         } else {
             shape.add(path + ":" + (value == null ? "null" : value.getClass().getSimpleName()));
         }
@@ -93,14 +95,14 @@
     }
 
     /** A message as text: names in their order, bytes in Base64. */
-    static String text(Object value) {
+    static String format(Object value) {
         if (value instanceof Map<?, ?> map) {
             List<String> parts = new ArrayList<>();
-            new TreeMap<>(map).forEach((name, one) -> parts.add(name + "=" + text(one)));
+            new TreeMap<>(map).forEach((name, element) -> parts.add(name + "=" + format(element)));
             return "{" + String.join(", ", parts) + "}";
         } else if (value instanceof List<?> list) {
             return "["
-                    + String.join(", ", list.stream().map(RecordedMessages::text).toList())
+                    + String.join(", ", list.stream().map(RecordedMessages::format).toList())
                     + "]";
         } else if (value instanceof byte[] bytes) {
             return "b64:" + Base64.getEncoder().encodeToString(bytes);
@@ -113,58 +115,60 @@
     /**
      * The first HTTP call, HTTP answer and line of each kind, between each two kinds of machine.
      */
-    static final class Texts implements Sim.Tap {
+    static final class FirstTextMessages implements Simulator.MessageObserver {
 
-        private final Map<String, String> firsts = new TreeMap<>();
+        private final Map<String, String> firstByKind = new TreeMap<>();
 
         @Override
-        public void sent(String from, String to, String kind, byte[] message) {
+        public void onSent(String from, String to, String kind, byte[] message) {
             if (kind.equals("FRAMES")) {
                 return;
             }
             String text = new String(message, StandardCharsets.ISO_8859_1);
-            boolean line = kind.equals("LINES");
-            String first =
-                    line
+            boolean isLine = kind.equals("LINES");
+            String kindName =
+                    isLine
                             ? text.replaceAll("[ \r\n].*", "")
                             : kind.replaceAll("(/[A-Za-z]+\\.[A-Za-z]+).*", "$1");
-            String ends = machines(from) + ">" + machines(to);
-            firsts.putIfAbsent(
-                    ends + " " + first,
-                    ends + " " + (line ? "" : kind + " ") + text.replace("\r\n", "\\r\\n"));
+            String direction = machineKind(from) + ">" + machineKind(to);
+            firstByKind.putIfAbsent(
+                    direction + " " + kindName,
+                    direction + " " + (isLine ? "" : kind + " ") + text.replace("\r\n", "\\r\\n"));
         }
 
-        private static String machines(String name) {
+        private static String machineKind(String name) {
             return name.startsWith("10.") ? "address" : name.replaceAll("\\d*-.*", "");
         }
 
         List<String> lines() {
-            return List.copyOf(firsts.values());
+            return List.copyOf(firstByKind.values());
         }
     }
 
     /** Writes the files. */
     public static void main(String[] args) throws IOException {
-        Texts texts = new Texts();
+        FirstTextMessages textMessages = new FirstTextMessages();
         List<String> digests = new ArrayList<>();
         List<String> examples = new ArrayList<>();
-        TreeSet<String> seen = new TreeSet<>();
-        days().forEach(
-                        (name, day) ->
+        TreeSet<String> seenShapes = new TreeSet<>();
+        simulations()
+                .forEach(
+                        (name, simulation) ->
                                 digests.add(
                                         name
                                                 + " "
-                                                + digest(
-                                                        day,
+                                                + runAndDigest(
+                                                        simulation,
                                                         (from, to, kind, message) -> {
-                                                            texts.sent(from, to, kind, message);
+                                                            textMessages.onSent(
+                                                                    from, to, kind, message);
                                                             if (kind.equals("FRAMES")) {
                                                                 try {
                                                                     Map<String, Object> fields =
                                                                             MessageCodec.decode(
                                                                                             message)
                                                                                     .values();
-                                                                    String ends =
+                                                                    String direction =
                                                                             from.replaceAll(
                                                                                             "-.*",
                                                                                             "")
@@ -172,31 +176,33 @@
                                                                                     + to.replaceAll(
                                                                                             "-.*",
                                                                                             "");
-                                                                    if (seen.addAll(
-                                                                            shape(fields, ends))) {
+                                                                    if (seenShapes.addAll(
+                                                                            shape(
+                                                                                    fields,
+                                                                                    direction))) {
                                                                         examples.add(
-                                                                                ends
+                                                                                direction
                                                                                         + " "
                                                                                         + Base64
                                                                                                 .getEncoder()
                                                                                                 .encodeToString(
                                                                                                         message)
                                                                                         + " "
-                                                                                        + text(
+                                                                                        + format(
                                                                                                 fields));
                                                                     }
                                                                 } catch (
                                                                         MessageCodec
                                                                                         .MalformedMessageException
-                                                                                bad) {
+                                                                                malformed) {
                                                                     throw new IllegalStateException(
-                                                                            bad);
+                                                                            malformed);
                                                                 }
                                                             }
                                                         })));
         Files.createDirectories(FOLDER);
         Files.write(DIGESTS, digests);
         Files.write(EXAMPLES, examples);
-        Files.write(TEXTS, texts.lines());
+        Files.write(TEXT_MESSAGES, textMessages.lines());
     }
 }
--- a/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
+++ b/src/test/java/dillfront/simulation/system/RecordedMessagesTest.java
@@ -26,46 +26,48 @@
      * among them.
      */
     @Test
-    void daysSendTheSameMessages() throws IOException {
+    void sendsRecordedMessages() throws IOException {
         Map<String, String> expected = new TreeMap<>();
         for (String line : Files.readAllLines(RecordedMessages.DIGESTS)) {
-            String[] part = line.split(" ", 2);
-            expected.put(part[0], part[1]);
+            String[] fields = line.split(" ", 2);
+            expected.put(fields[0], fields[1]);
         }
-        Map<String, Day> days = RecordedMessages.days();
-        assertEquals(expected.keySet(), days.keySet());
+        Map<String, SystemSimulation> simulations = RecordedMessages.simulations();
+        assertEquals(expected.keySet(), simulations.keySet());
         Map<String, String> actual = new TreeMap<>();
-        RecordedMessages.Texts texts = new RecordedMessages.Texts();
-        days.forEach((name, day) -> actual.put(name, RecordedMessages.digest(day, texts)));
+        RecordedMessages.FirstTextMessages textMessages = new RecordedMessages.FirstTextMessages();
+        simulations.forEach(
+                (name, simulation) ->
+                        actual.put(name, RecordedMessages.runAndDigest(simulation, textMessages)));
         assertEquals(
-                String.join("\n", Files.readAllLines(RecordedMessages.TEXTS)),
-                String.join("\n", texts.lines()));
+                String.join("\n", Files.readAllLines(RecordedMessages.TEXT_MESSAGES)),
+                String.join("\n", textMessages.lines()));
         assertEquals(expected, actual);
     }
 
     /** Each codec reads the bytes of earlier versions, and writes the same bytes again. */
     @Test
-    void recordedMessagesAreReadAndWrittenAlike() throws Exception {
+    void reencodesRecordedMessagesUnchanged() throws Exception {
         List<String> lines = Files.readAllLines(RecordedMessages.EXAMPLES);
         assertTrue(lines.size() > 20, "examples: " + lines.size());
         for (String line : lines) {
             String[] part = line.split(" ", 3);
             byte[] message = Base64.getDecoder().decode(part[1]);
             MessageCodec.Fields fields = MessageCodec.decode(message);
-            assertEquals(part[2], RecordedMessages.text(fields.values()));
-            assertArrayEquals(message, passed(part[0], message, fields), part[2]);
+            assertEquals(part[2], RecordedMessages.format(fields.values()));
+            assertArrayEquals(message, reencode(part[0], message, fields), part[2]);
         }
     }
 
-    private static byte[] passed(String ends, byte[] message, MessageCodec.Fields fields)
+    private static byte[] reencode(String direction, byte[] message, MessageCodec.Fields fields)
             throws MessageCodec.MalformedMessageException {
-        return switch (ends) {
+        return switch (direction) {
             case "core>core" ->
                     PeerMessageCodec.encode(PeerMessageCodec.decode(fields, fields.number("n", 0)));
             case "front>core" -> SubscriptionCodec.encode(SubscriptionCodec.decodeRequest(fields));
             case "core>front" ->
                     SubscriptionCodec.encode(SubscriptionCodec.decodeResponse(message));
-            default -> throw new AssertionError(ends);
+            default -> throw new AssertionError(direction);
         };
     }
 }
--- a/src/test/java/dillfront/simulation/system/ScenarioTest.java
+++ b/src/test/java/dillfront/simulation/system/ScenarioTest.java
@@ -28,19 +28,19 @@
  */
 class ScenarioTest {
 
-    private static final int DAYS = 60;
-    private static final int WORST_DAYS = 40;
-    private static final Path FOLDER = Path.of("src/test/resources/scenarios");
+    private static final int RANDOM_RUNS = 60;
+    private static final int WORST_CASE_RUNS = 40;
+    private static final Path SCENARIO_FOLDER = Path.of("src/test/resources/scenarios");
 
     @TestFactory
     Stream<DynamicTest> scenarios() throws IOException {
-        try (Stream<Path> files = Files.list(FOLDER)) {
+        try (Stream<Path> files = Files.list(SCENARIO_FOLDER)) {
             return files
                     .sorted()
                     .map(
                             file ->
                                     DynamicTest.dynamicTest(
-                                            file.getFileName().toString(), () -> play(file)))
+                                            file.getFileName().toString(), () -> runScenario(file)))
                     .toList()
                     .stream();
         }
@@ -48,15 +48,15 @@
 
     /** Days with troubles by chance; `make measure-system SEED=n` tells one in full. */
     @Test
-    void daysByChance() {
-        for (long seed = 1; seed <= DAYS; seed++) {
-            Day day = new Day(seed, 2, 2, 9, 24_000);
-            day.random();
-            day.play();
+    void invariantsHoldUnderRandomFaults() {
+        for (long seed = 1; seed <= RANDOM_RUNS; seed++) {
+            SystemSimulation simulation = new SystemSimulation(seed, 2, 2, 9, 24_000);
+            simulation.addRandomFaults();
+            simulation.run();
             assertEquals(
                     List.of(),
-                    day.breaches(),
-                    "seed " + seed + "\n" + String.join("\n", day.story));
+                    simulation.violations(),
+                    "seed " + seed + "\n" + String.join("\n", simulation.eventLog));
         }
     }
 
@@ -65,60 +65,62 @@
      * moment of that.
      */
     @Test
-    void replicasReceiveAgainWhoeverHolds() {
-        replicasReceiveAgain("holder for 4");
+    void resumesReplicationWhenLeaseHolderFails() {
+        checkReplicationResumes("holder for 4");
     }
 
     /** The same, and one of the replicas is out of the holder's reach from any moment on. */
     @Test
-    void replicasReceiveAgainOnceTheyAreReached() {
-        replicasReceiveAgain("cut core-a db0-c2 for 3");
+    void resumesReplicationAfterReplicaReconnects() {
+        checkReplicationResumes("cut core-a db0-c2 for 3");
     }
 
-    private static void replicasReceiveAgain(String also) {
-        Day calm = primaryIsBack(15_000, "configure");
-        long leads =
-                calm.told().stream()
+    private static void checkReplicationResumes(String fault) {
+        SystemSimulation undisturbed = runWithReturningPrimary(15_000, "configure");
+        long promotedMillis =
+                undisturbed.traceLog().stream()
                         .filter(l -> l.contains(" primary service=db0 "))
                         .mapToLong(l -> Long.parseLong(l.split(" ")[0]))
                         .max()
                         .orElseThrow();
-        for (long at = leads - 400; at < leads + 60; at += 8) {
-            Day day = primaryIsBack(at, also);
-            String told =
-                    also
+        for (long atMillis = promotedMillis - 400; atMillis < promotedMillis + 60; atMillis += 8) {
+            SystemSimulation simulation = runWithReturningPrimary(atMillis, fault);
+            String details =
+                    fault
                             + " at "
-                            + at
+                            + atMillis
                             + "\n"
-                            + String.join("\n", day.story)
+                            + String.join("\n", simulation.eventLog)
                             + "\n"
-                            + String.join("\n", day.told());
-            assertEquals(List.of(), day.breaches(), told);
-            assertEquals(List.of(), day.paused(), told);
+                            + String.join("\n", simulation.traceLog());
+            assertEquals(List.of(), simulation.violations(), details);
+            assertEquals(List.of(), simulation.serversWithPausedReplication(), details);
         }
     }
 
     /** A person gives commits up, and whoever holds the duty goes at any moment about his call. */
     @Test
-    void whatWasGivenUpStaysSoWhoeverHolds() {
-        for (long at = 23_950; at < 25_700; at += at >= 24_000 && at < 24_100 ? 4 : 50) {
-            Day day = onlyCopyIsGone("gone db0 primary");
-            day.at(at / 1e3, "holder for 4");
-            day.play();
-            String told =
+    void acceptedDataLossSurvivesLeaseHolderFailure() {
+        for (long atMillis = 23_950;
+                atMillis < 25_700;
+                atMillis += atMillis >= 24_000 && atMillis < 24_100 ? 4 : 50) {
+            SystemSimulation simulation = loseOnlyCopy("gone db0 primary");
+            simulation.scheduleFault(atMillis / 1e3, "holder for 4");
+            simulation.run();
+            String details =
                     "holder at "
-                            + at
+                            + atMillis
                             + "\n"
-                            + String.join("\n", day.story)
+                            + String.join("\n", simulation.eventLog)
                             + "\n"
-                            + String.join("\n", day.told());
-            assertEquals(List.of(), day.breaches(), told);
-            assertEquals(1, day.promotions(), told);
+                            + String.join("\n", simulation.traceLog());
+            assertEquals(List.of(), simulation.violations(), details);
+            assertEquals(1, simulation.promotions(), details);
             assertTrue(
-                    day.givenUp() > 0
-                            && day.story.stream()
+                    simulation.acceptedLostCommits() > 0
+                            && simulation.eventLog.stream()
                                     .anyMatch(l -> l.contains("accept db0") && l.endsWith(" 200")),
-                    told);
+                    details);
         }
     }
 
@@ -127,80 +129,84 @@
      * or another leads without them.
      */
     @Test
-    void whatWasGivenUpIsBack() {
-        int leadOn = 0;
+    void returningPrimaryResolvesAcceptedDataLoss() {
+        int keptPrimary = 0;
         // About the call in steps that fall between any two of the move's own.
-        for (long back = 23_000; back < 27_000; back += back >= 24_000 && back < 24_600 ? 10 : 50) {
-            Day day = onlyCopyIsGone("crash db0 primary for " + (back - 16_500) / 1e3);
-            day.play();
-            String told =
+        for (long returnMillis = 23_000;
+                returnMillis < 27_000;
+                returnMillis += returnMillis >= 24_000 && returnMillis < 24_600 ? 10 : 50) {
+            SystemSimulation simulation =
+                    loseOnlyCopy("crash db0 primary for " + (returnMillis - 16_500) / 1e3);
+            simulation.run();
+            String details =
                     "back at "
-                            + back
+                            + returnMillis
                             + "\n"
-                            + String.join("\n", day.story)
+                            + String.join("\n", simulation.eventLog)
                             + "\n"
-                            + String.join("\n", day.told());
-            assertEquals(List.of(), day.breaches(), told);
-            assertEquals(day.promotions() > 0, day.givenUp() > 0, told);
-            leadOn += day.promotions() == 0 ? 1 : 0;
+                            + String.join("\n", simulation.traceLog());
+            assertEquals(List.of(), simulation.violations(), details);
+            assertEquals(
+                    simulation.promotions() > 0, simulation.acceptedLostCommits() > 0, details);
+            keptPrimary += simulation.promotions() == 0 ? 1 : 0;
         }
-        assertTrue(leadOn > 0 && leadOn < 128, leadOn + " times it led on");
+        assertTrue(keptPrimary > 0 && keptPrimary < 128, keptPrimary + " times it led on");
     }
 
-    private static Day onlyCopyIsGone(String how) {
-        Day day = new Day(31, 1, 1, 6, 36_000);
-        day.at(6, "deaf db0 last for 14");
-        day.at(7, "release db0 replica same");
-        day.at(16.5, how);
-        day.at(24, "accept db0 twice for 12");
-        return day;
+    private static SystemSimulation loseOnlyCopy(String lossOfPrimary) {
+        SystemSimulation simulation = new SystemSimulation(31, 1, 1, 6, 36_000);
+        simulation.scheduleFault(6, "deaf db0 last for 14");
+        simulation.scheduleFault(7, "release db0 replica same");
+        simulation.scheduleFault(16.5, lossOfPrimary);
+        simulation.scheduleFault(24, "accept db0 twice for 12");
+        return simulation;
     }
 
-    private static Day primaryIsBack(long ms, String also) {
-        Day day = new Day(31, 1, 1, 6, 21_000);
-        day.at(8, "dark db0 primary for 1");
-        day.at(ms / 1e3, also);
-        day.play();
-        return day;
+    private static SystemSimulation runWithReturningPrimary(long atMillis, String fault) {
+        SystemSimulation simulation = new SystemSimulation(31, 1, 1, 6, 21_000);
+        simulation.scheduleFault(8, "dark db0 primary for 1");
+        simulation.scheduleFault(atMillis / 1e3, fault);
+        simulation.run();
+        return simulation;
     }
 
     /** The worst days of control state; `make measure-control SEED=n` tells one in full. */
     @Test
-    void worstDaysByChance() {
-        for (long seed = 1_001; seed <= 1_000 + WORST_DAYS; seed++) {
-            Day day = ControlMeasure.day(seed);
-            day.play();
+    void invariantsHoldUnderWorstCaseFaults() {
+        for (long seed = 1_001; seed <= 1_000 + WORST_CASE_RUNS; seed++) {
+            SystemSimulation simulation = ControlMeasure.scheduleOf(seed);
+            simulation.run();
             assertEquals(
                     List.of(),
-                    day.breaches(),
-                    "seed " + seed + "\n" + String.join("\n", day.story));
+                    simulation.violations(),
+                    "seed " + seed + "\n" + String.join("\n", simulation.eventLog));
         }
     }
 
-    private static void within(List<Long> times, String most, String told) {
+    private static void assertWithin(List<Long> times, String maxMillis, String details) {
         assertTrue(
-                !times.isEmpty() && times.stream().allMatch(ms -> ms <= Long.parseLong(most)),
-                times + "\n" + told);
+                !times.isEmpty() && times.stream().allMatch(ms -> ms <= Long.parseLong(maxMillis)),
+                times + "\n" + details);
     }
 
     /** Of each planned change of a primary: from its record until the next one led. */
-    private static List<Long> plannedMs(Day day) {
-        List<Long> all = new ArrayList<>();
+    private static List<Long> plannedPromotionMillis(SystemSimulation simulation) {
+        List<Long> durations = new ArrayList<>();
         TreeSet<String> planned = new TreeSet<>();
-        for (String line : day.told()) {
-            String[] w = line.split(" ");
-            if (w[2].equals("planned-move")) {
-                planned.add(w[3]);
-            } else if (w[2].equals("failover")) {
-                planned.remove(w[3]);
-            } else if (w[2].equals("primary") && planned.remove(w[3])) {
-                all.add(Long.parseLong(w[5].substring("after_ms=".length())));
+        for (String line : simulation.traceLog()) {
+            String[] fields = line.split(" ");
+            if (fields[2].equals("planned-move")) {
+                planned.add(fields[3]);
+            } else if (fields[2].equals("failover")) {
+                planned.remove(fields[3]);
+            } else if (fields[2].equals("primary") && planned.remove(fields[3])) {
+                durations.add(Long.parseLong(fields[5].substring("after_ms=".length())));
             }
         }
-        return all;
+        return durations;
     }
 
-    private static void play(Path file) throws IOException {
+    private static void runScenario(Path file) throws IOException {
         List<String> lines =
                 Files.readAllLines(file).stream()
                         .map(String::strip)
@@ -212,92 +218,111 @@
                         .mapToLong(l -> Long.parseLong(l.substring(6)))
                         .findFirst()
                         .orElse(1);
-        for (long more = 0; more < seeds; more++) {
-            play(file, lines, more);
+        for (long seedOffset = 0; seedOffset < seeds; seedOffset++) {
+            runScenario(file, lines, seedOffset);
         }
     }
 
-    private static void play(Path file, List<String> lines, long more) {
-        Day day = null;
+    private static void runScenario(Path file, List<String> lines, long seedOffset) {
+        SystemSimulation simulation = null;
         for (String line : lines) {
-            String[] w = line.split("\\s+", 3);
-            if (w[0].equals("day")) {
-                String[] n = line.split("\\s+");
-                day =
-                        new Day(
-                                Long.parseLong(n[1]) + more,
-                                Integer.parseInt(n[2]),
-                                Integer.parseInt(n[3]),
-                                Integer.parseInt(n[4]),
-                                Long.parseLong(n[5]) * 1_000,
-                                n.length > 6 ? Integer.parseInt(n[6]) : 3);
-            } else if (w[0].equals("at")) {
-                day.at(Double.parseDouble(w[1]), w[2]);
+            String[] fields = line.split("\\s+", 3);
+            if (fields[0].equals("day")) {
+                String[] parameters = line.split("\\s+");
+                simulation =
+                        new SystemSimulation(
+                                Long.parseLong(parameters[1]) + seedOffset,
+                                Integer.parseInt(parameters[2]),
+                                Integer.parseInt(parameters[3]),
+                                Integer.parseInt(parameters[4]),
+                                Long.parseLong(parameters[5]) * 1_000,
+                                parameters.length > 6 ? Integer.parseInt(parameters[6]) : 3);
+            } else if (fields[0].equals("at")) {
+                simulation.scheduleFault(Double.parseDouble(fields[1]), fields[2]);
             }
         }
-        day.play();
-        String told =
-                String.join("\n", day.story)
+        simulation.run();
+        String details =
+                String.join("\n", simulation.eventLog)
                         + "\n"
-                        + String.join("\n", day.told())
+                        + String.join("\n", simulation.traceLog())
                         + "\n"
-                        + String.join("\n", day.status());
-        assertEquals(List.of(), day.breaches().stream().limit(5).toList(), told);
+                        + String.join("\n", simulation.status());
+        assertEquals(List.of(), simulation.violations().stream().limit(5).toList(), details);
         for (String line : lines) {
-            String[] w = line.split("\\s+", 3);
-            if (!w[0].equals("expect")) {
+            String[] fields = line.split("\\s+", 3);
+            if (!fields[0].equals("expect")) {
                 continue;
             }
-            switch (w[1]) {
+            switch (fields[1]) {
                 case "served" ->
                         assertTrue(
-                                day.served() >= Double.parseDouble(w[2]),
-                                "served " + day.served() + "\n" + told);
-                case "promotions" -> assertEquals(Integer.parseInt(w[2]), day.promotions(), told);
+                                simulation.served() >= Double.parseDouble(fields[2]),
+                                "served " + simulation.served() + "\n" + details);
+                case "promotions" ->
+                        assertEquals(Integer.parseInt(fields[2]), simulation.promotions(), details);
                 case "promote_ms" ->
                         assertTrue(
-                                day.promoteMs().stream().allMatch(ms -> ms <= Long.parseLong(w[2])),
-                                day.promoteMs() + "\n" + told);
+                                simulation.promotionMillis().stream()
+                                        .allMatch(ms -> ms <= Long.parseLong(fields[2])),
+                                simulation.promotionMillis() + "\n" + details);
                 case "platform_calls" ->
                         assertTrue(
-                                day.platformCalls() <= Integer.parseInt(w[2]),
-                                day.platformCalls() + "\n" + told);
+                                simulation.platformCalls() <= Integer.parseInt(fields[2]),
+                                simulation.platformCalls() + "\n" + details);
                 case "config_ms" ->
                         assertTrue(
-                                !day.configMs().isEmpty()
-                                        && day.configMs().stream()
-                                                .allMatch(ms -> ms <= Long.parseLong(w[2])),
-                                day.configMs() + "\n" + told);
-                case "planned_ms" -> within(plannedMs(day), w[2], told);
+                                !simulation.configurationApplyMillis().isEmpty()
+                                        && simulation.configurationApplyMillis().stream()
+                                                .allMatch(ms -> ms <= Long.parseLong(fields[2])),
+                                simulation.configurationApplyMillis() + "\n" + details);
+                case "planned_ms" ->
+                        assertWithin(plannedPromotionMillis(simulation), fields[2], details);
                 case "losses" ->
                         assertTrue(
-                                day.control().losses >= Long.parseLong(w[2]),
-                                day.control().losses + "\n" + told);
+                                simulation.controlCounts().machineLosses
+                                        >= Long.parseLong(fields[2]),
+                                simulation.controlCounts().machineLosses + "\n" + details);
                 case "acknowledged" ->
                         assertTrue(
-                                day.control().acknowledged >= Long.parseLong(w[2]),
-                                day.control().acknowledged + "\n" + told);
+                                simulation.controlCounts().acknowledgedChanges
+                                        >= Long.parseLong(fields[2]),
+                                simulation.controlCounts().acknowledgedChanges + "\n" + details);
                 case "acknowledge_ms" ->
                         assertTrue(
-                                day.control().acknowledgeMs.stream()
-                                        .allMatch(ms -> ms <= Long.parseLong(w[2])),
-                                day.control().acknowledgeMs + "\n" + told);
-                case "replaced" -> assertEquals(Long.parseLong(w[2]), day.control().replaced, told);
-                case "replace_ms" -> within(day.control().replaceMs, w[2], told);
+                                simulation.controlCounts().acknowledgeMillis.stream()
+                                        .allMatch(ms -> ms <= Long.parseLong(fields[2])),
+                                simulation.controlCounts().acknowledgeMillis + "\n" + details);
+                case "replaced" ->
+                        assertEquals(
+                                Long.parseLong(fields[2]),
+                                simulation.controlCounts().replacements,
+                                details);
+                case "replace_ms" ->
+                        assertWithin(
+                                simulation.controlCounts().replacementMillis, fields[2], details);
                 case "behind" ->
                         assertTrue(
-                                day.control().behindChanges >= Long.parseLong(w[2]),
-                                day.control().behindChanges + "\n" + told);
-                case "catch_up_ms" -> within(day.control().catchUpMs, w[2], told);
+                                simulation.controlCounts().caughtUpChanges
+                                        >= Long.parseLong(fields[2]),
+                                simulation.controlCounts().caughtUpChanges + "\n" + details);
+                case "catch_up_ms" ->
+                        assertWithin(simulation.controlCounts().catchUpMillis, fields[2], details);
                 case "given_up" ->
                         assertTrue(
-                                w[2].equals("0")
-                                        ? day.givenUp() == 0
-                                        : day.givenUp() >= Integer.parseInt(w[2]),
-                                "given up " + day.givenUp() + "\n" + told);
-                case "said" -> assertTrue(day.story.stream().anyMatch(l -> l.contains(w[2])), told);
+                                fields[2].equals("0")
+                                        ? simulation.acceptedLostCommits() == 0
+                                        : simulation.acceptedLostCommits()
+                                                >= Integer.parseInt(fields[2]),
+                                "given up " + simulation.acceptedLostCommits() + "\n" + details);
+                case "said" ->
+                        assertTrue(
+                                simulation.eventLog.stream().anyMatch(l -> l.contains(fields[2])),
+                                details);
                 case "noted" ->
-                        assertTrue(day.told().stream().anyMatch(l -> l.contains(w[2])), told);
+                        assertTrue(
+                                simulation.traceLog().stream().anyMatch(l -> l.contains(fields[2])),
+                                details);
                 default -> throw new IllegalArgumentException(file + ": " + line);
             }
         }
