--- a/src/main/java/dillfront/benchmark/TransactionCostCounter.java
+++ b/src/main/java/dillfront/benchmark/TransactionCostCounter.java
@@ -2,8 +2,8 @@
 
 import com.sun.management.ThreadMXBean;
 import dillfront.common.logging.Log;
-import dillfront.router.Daemon;
-import dillfront.router.config.Config;
+import dillfront.router.RouterServer;
+import dillfront.router.config.RouterConfig;
 import io.netty.buffer.PoolArenaMetric;
 import io.netty.buffer.PooledByteBufAllocator;
 import java.io.ByteArrayInputStream;
@@ -122,9 +122,9 @@
             port = socket.getLocalPort();
         }
         try (StubBackends backends = new StubBackends(NODE_WORK_MICROS)) {
-            Daemon daemon =
-                    new Daemon(
-                            Config.read(
+            RouterServer daemon =
+                    new RouterServer(
+                            RouterConfig.read(
                                     new ByteArrayInputStream(
                                             backends.config(port, 8)
                                                     .getBytes(StandardCharsets.US_ASCII))),
--- a/src/main/java/dillfront/cli/Main.java
+++ b/src/main/java/dillfront/cli/Main.java
@@ -6,10 +6,10 @@
 import dillfront.common.logging.Log;
 import dillfront.common.logging.NettyLoggerFactory;
 import dillfront.common.storage.KeyValueStore;
-import dillfront.router.Daemon;
-import dillfront.router.Rehearsal;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Config;
+import dillfront.router.RouterServer;
+import dillfront.router.WarmUpRun;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.operator.OperatorConfig;
 import dillfront.routing.simulator.InvalidInputException;
 import dillfront.routing.simulator.SimulatorServer;
@@ -39,20 +39,20 @@
             if (args[0].equals("serve")) {
                 Log log = new Log(System.err);
                 NettyLoggerFactory.install(log);
-                Daemon daemon =
-                        new Daemon(
-                                Config.read(System.getenv()),
+                RouterServer daemon =
+                        new RouterServer(
+                                RouterConfig.read(System.getenv()),
                                 OperatorConfig.fromEnvironment(System.getenv()),
                                 log);
                 // Registered before the start: the default reaction of the JVM to SIGHUP is to
                 // exit.
-                daemon.hear(() -> Config.again(System.getenv()));
+                daemon.registerSignals(() -> RouterConfig.readForReload(System.getenv()));
                 daemon.start();
                 Runtime.getRuntime().addShutdownHook(new Thread(daemon::stop, "stop"));
             } else if (args[0].equals("rehearse")) {
                 Log log = new Log(System.err);
                 NettyLoggerFactory.install(log);
-                Rehearsal.run(log);
+                WarmUpRun.run(log);
             } else if (args[0].equals("data-plane")) {
                 DataPlaneProgram.run(() -> NodeSettings.fromEnvironment(System.getenv()));
             } else if (args[0].equals("control-plane")) {
@@ -63,7 +63,7 @@
             } else {
                 new SimulatorServer(System.in, System.out).run();
             }
-        } catch (BadConfig e) {
+        } catch (ConfigException e) {
             System.err.println("dillfront: " + e.getMessage());
             System.exit(1);
         } catch (OperatorConfig.InvalidOperatorConfigException e) {
--- a/src/main/java/dillfront/cli/SiteCommand.java
+++ b/src/main/java/dillfront/cli/SiteCommand.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Tree;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.JsonObject;
 import dillfront.router.plan.LoadPlan;
 import dillfront.router.plan.LoadPlanner;
 import dillfront.router.plan.PlannerInput;
@@ -99,10 +99,10 @@
             }
             PlannerInput estate;
             try (InputStream in = Files.newInputStream(file)) {
-                estate = PlannerInputReader.read(Tree.parse(in), utilization, typeShares);
+                estate = PlannerInputReader.read(JsonObject.parse(in), utilization, typeShares);
             } catch (NoSuchFileException e) {
                 return RootCommand.fail(file + ": no such file");
-            } catch (IOException | BadConfig e) {
+            } catch (IOException | ConfigException e) {
                 return RootCommand.fail(
                         file
                                 + ": "
--- a/src/main/java/dillfront/router/Side.java
+++ b/src/main/java/dillfront/router/OptionalServices.java
@@ -1,12 +1,12 @@
 package dillfront.router;
 
 import dillfront.common.logging.Log;
-import dillfront.router.admin.Control;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Config;
-import dillfront.router.config.Setup;
-import dillfront.router.discovery.Witnesses;
-import dillfront.router.frontend.Clients;
+import dillfront.router.admin.AdminServer;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.RouterConfig;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.discovery.PeerClosureReports;
+import dillfront.router.frontend.ClientListener;
 import dillfront.router.memory.RouterStateStore;
 import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.PeerHealthExchange;
@@ -21,91 +21,92 @@
 import java.util.SplittableRandom;
 
 /**
- * What the operator's file adds to a router: gossip, and a door for questions on loopback. On the
- * loop but for its making.
+ * Holds the services that the operator's file enables: gossip, the loopback admin server,
+ * authentication, persistent state and recovery. Runs on the event loop, except for the
+ * constructor.
  */
-final class Side {
+final class OptionalServices {
 
-    private final PeerHealthExchange neighbours;
-    private final UdpGossipTransport datagrams;
-    private final Control control;
-    private final Doorkeeper doorkeeper;
+    private final PeerHealthExchange peerHealth;
+    private final UdpGossipTransport gossipTransport;
+    private final AdminServer adminServer;
+    private final FileClientAuthenticator authenticator;
 
-    /** Null where nothing is remembered. */
-    private final RouterStateStore memory;
+    /** Null if no state is persisted. */
+    private final RouterStateStore store;
 
-    private final Ledger ledger;
+    private final RecoveryCoordinator recovery;
 
-    Side(
+    OptionalServices(
             OperatorConfig operator,
-            Config config,
+            RouterConfig config,
             Router router,
-            Clients clients,
+            ClientListener clients,
             EventLoop loop,
             Log log)
             throws OperatorConfig.InvalidOperatorConfigException {
         String name = config.name();
         long seed = config.seed();
-        doorkeeper =
+        authenticator =
                 operator.identity() == null
                         ? null
-                        : new Doorkeeper(
+                        : new FileClientAuthenticator(
                                 operator.file(),
                                 operator,
-                                config.setup(),
+                                config.settings(),
                                 seed,
                                 router.clock(),
                                 loop,
                                 log);
-        if (doorkeeper != null) {
-            clients.ask(doorkeeper);
+        if (authenticator != null) {
+            clients.setAuthenticator(authenticator);
         }
-        memory =
+        store =
                 operator.stateFolder() == null
                         ? null
                         : RouterStateStore.open(operator.stateFolder(), name, log, loop);
-        if (memory != null) {
-            router.remembers(
+        if (store != null) {
+            router.configureMemberList(
                     members -> {
-                        memory.closings()
+                        store.closings()
                                 .forEach(
                                         c ->
-                                                members.recall(
+                                                members.restoreClosed(
                                                         c.id(),
                                                         c.standing(),
                                                         c.startedMs(),
                                                         c.generation()));
-                        members.keeper(memory);
+                        members.setClosureListener(store);
                     });
         }
-        ledger =
-                memory == null
+        recovery =
+                store == null
                                 && operator.uncertainTransactionBounds() == null
                                 && !operator.assessesSites()
                         ? null
-                        : new Ledger(
+                        : new RecoveryCoordinator(
                                 operator.uncertainTransactionBounds(),
-                                memory,
+                                store,
                                 operator.assessesSites(),
-                                config.setup(),
+                                config.settings(),
                                 router.clock().now(),
                                 log);
-        if (ledger != null) {
-            router.keeps(ledger, memory == null ? null : memory::whenKept);
+        if (recovery != null) {
+            router.setRecovery(recovery, store == null ? null : store::whenKept);
         }
         OperatorConfig.GossipSection gossip = operator.gossip();
         if (gossip == null) {
-            neighbours = null;
-            datagrams = null;
+            peerHealth = null;
+            gossipTransport = null;
         } else {
-            int self = gossip.selfIndex(name);
-            PeerRegistry ring = gossip.ring();
-            neighbours = new PeerHealthExchange(gossip.tuning(), ring.size(), router);
-            datagrams =
+            int selfIndex = gossip.selfIndex(name);
+            PeerRegistry peers = gossip.ring();
+            peerHealth = new PeerHealthExchange(gossip.tuning(), peers.size(), router);
+            gossipTransport =
                     new UdpGossipTransport(
                             gossip.tuning(),
-                            ring,
-                            self,
+                            peers,
+                            selfIndex,
                             gossip.bindAddress(),
                             PeerRegistry.keyId(HexFormat.of().parseHex(gossip.publicKey())),
                             gossip.privateKey(),
@@ -114,97 +115,98 @@
                             router.clock()::now,
                             () -> Duration.ofMillis(router.clock().unixMillis()),
                             new SplittableRandom(~seed),
-                            (word, age) ->
-                                    neighbours.receiveClaim(word, age, router.clock().now()));
-            neighbours.setGossip(datagrams::gossip);
-            router.hears(neighbours);
-            PeerInDoubtKeys others =
+                            (claim, age) ->
+                                    peerHealth.receiveClaim(claim, age, router.clock().now()));
+            peerHealth.setGossip(gossipTransport::gossip);
+            router.setPeerHealth(peerHealth);
+            PeerInDoubtKeys peerKeys =
                     operator.uncertainTransactionBounds() == null
                             ? null
                             : new PeerInDoubtKeys(
-                                    ring.size(), operator.uncertainTransactionBounds().retention());
-            if (others != null) {
-                ledger.others(others);
+                                    peers.size(),
+                                    operator.uncertainTransactionBounds().retention());
+            if (peerKeys != null) {
+                recovery.peerInDoubtKeys(peerKeys);
             }
-            datagrams.setRestrictions(
+            gossipTransport.setRestrictions(
                     new PeerRestrictionSync(
-                            others == null ? null : ledger.doubts(),
-                            others,
-                            new Witnesses(gossip.tuning().toleratedLiars()),
+                            peerKeys == null ? null : recovery.inDoubtKeys(),
+                            peerKeys,
+                            new PeerClosureReports(gossip.tuning().toleratedLiars()),
                             router,
                             router.clock()::now));
         }
-        control =
+        adminServer =
                 operator.controlAddress() == null
                         ? null
-                        : new Control(
+                        : new AdminServer(
                                 loop,
                                 operator.controlAddress(),
                                 log,
-                                question ->
-                                        switch (question) {
+                                query ->
+                                        switch (query) {
                                             case "peers" ->
-                                                    datagrams == null
+                                                    gossipTransport == null
                                                             ? "gossip is off\n"
                                                             : PeerStatusReport.table(
-                                                                    datagrams, neighbours);
+                                                                    gossipTransport, peerHealth);
                                             case "peers json" ->
-                                                    datagrams == null
+                                                    gossipTransport == null
                                                             ? "{}\n"
                                                             : PeerStatusReport.json(
-                                                                    datagrams, neighbours);
+                                                                    gossipTransport, peerHealth);
                                             case "status" ->
-                                                    ledger == null
+                                                    recovery == null
                                                             ? "memory, doubts and sites are off\n"
-                                                            : Status.table(
-                                                                    ledger.status(
-                                                                            router.closings(),
-                                                                            router.witnesses()));
+                                                            : StatusFormatter.toText(
+                                                                    recovery.status(
+                                                                            router.closedNodes(),
+                                                                            router.reporters()));
                                             case "status json" ->
-                                                    ledger == null
+                                                    recovery == null
                                                             ? "{}\n"
-                                                            : Status.json(
-                                                                    ledger.status(
-                                                                            router.closings(),
-                                                                            router.witnesses()));
+                                                            : StatusFormatter.toJson(
+                                                                    recovery.status(
+                                                                            router.closedNodes(),
+                                                                            router.reporters()));
                                             default ->
                                                     "unknown question; known: peers, peers json, status, status json\n";
                                         });
     }
 
     /**
-     * False where nothing here goes by the settings; else what follows happens with the rights read
-     * anew, or not at all.
+     * Applies the settings to the parts that depend on them. Returns false if there are none;
+     * otherwise runs the task together with the re-read permissions, or throws and changes nothing.
      */
-    boolean settle(Setup next, Runnable then) throws BadConfig {
-        if (doorkeeper == null) {
+    boolean applySettings(RouterSettings newSettings, Runnable task) throws ConfigException {
+        if (authenticator == null) {
             return false;
         }
-        doorkeeper.settle(next, then);
+        authenticator.applySettings(newSettings, task);
         return true;
     }
 
     void open() {
-        if (datagrams != null) {
-            datagrams.open();
+        if (gossipTransport != null) {
+            gossipTransport.open();
         }
-        if (control != null) {
-            control.open();
+        if (adminServer != null) {
+            adminServer.open();
         }
     }
 
     void close() {
-        if (datagrams != null) {
-            datagrams.close();
+        if (gossipTransport != null) {
+            gossipTransport.close();
         }
-        if (control != null) {
-            control.close();
+        if (adminServer != null) {
+            adminServer.close();
         }
-        if (doorkeeper != null) {
-            doorkeeper.close();
+        if (authenticator != null) {
+            authenticator.close();
         }
-        if (memory != null) {
-            memory.close();
+        if (store != null) {
+            store.close();
         }
     }
 }
--- a/src/main/java/dillfront/router/Router.java
+++ b/src/main/java/dillfront/router/Router.java
@@ -2,18 +2,18 @@
 
 import dillfront.common.logging.Counters;
 import dillfront.common.logging.Log;
-import dillfront.router.backend.Fleet;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Config;
-import dillfront.router.config.Setup;
-import dillfront.router.config.Tree;
+import dillfront.router.backend.NodeConnectionManager;
+import dillfront.router.config.JsonObject;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterConfig;
+import dillfront.router.config.RouterSettings;
+import dillfront.router.discovery.DiscoveryClient;
 import dillfront.router.discovery.Member;
 import dillfront.router.discovery.MemberList;
-import dillfront.router.discovery.Watch;
-import dillfront.router.discovery.Witnesses;
-import dillfront.router.exchange.Asker;
-import dillfront.router.exchange.Desk;
+import dillfront.router.discovery.PeerClosureReports;
 import dillfront.router.exchange.Exchange;
+import dillfront.router.exchange.ExchangeHandler;
+import dillfront.router.exchange.ResponseReceiver;
 import dillfront.router.pace.LoopLagMonitor;
 import dillfront.router.peers.PeerHealthExchange;
 import dillfront.router.peers.PeerRegistry;
@@ -41,475 +41,494 @@
 import java.util.function.Consumer;
 
 /**
- * The module and what it drives: words of the network become its calls, its results go out again.
+ * Connects the routing engine to the network: network events become calls of the engine, and its
+ * decisions become network actions.
  */
 final class Router
         implements RoutingActions,
-                Desk,
-                Fleet.Listener,
-                Watch.Listener,
+                ExchangeHandler,
+                NodeConnectionManager.ProbeListener,
+                DiscoveryClient.Listener,
                 PeerHealthExchange.RoutingDecisions,
                 PeerRestrictionSync.ClosedNodeLists {
 
-    /** The part of the memory that one answer may take: 2 MB where it is 128. */
-    private static final int LONGEST_PART = 64;
+    /** Divisor of the memory limit that bounds one node message: 2 MB of 128 MB. */
+    private static final int RESPONSE_MEMORY_DIVISOR = 64;
 
-    private Setup setup;
-    private final Clock clock;
+    private RouterSettings settings;
+    private final MonotonicClock clock;
     private final Counters counters;
     private final Log log;
     private final EventLoop loop;
-    private final LoopLagMonitor pace;
+    private final LoopLagMonitor loopLag;
 
-    /** Of its own delay, what the module has been told. */
-    private Duration told = Duration.ZERO;
+    /** Total event loop lag that the routing engine has been notified of. */
+    private Duration reported = Duration.ZERO;
 
     private final MemberList members;
-    private final RoutingEngine decide;
-    private final Fleet fleet;
+    private final RoutingEngine engine;
+    private final NodeConnectionManager connectionManager;
 
-    /** A slot is used again once its txn is over. */
-    private final List<Exchange> slots = new ArrayList<>();
+    /** In-flight exchanges by slot; a slot is reused once its exchange has finished. */
+    private final List<Exchange> exchanges = new ArrayList<>();
 
-    /** Of the txns that hold a slot. */
-    private final Set<Long> ids = new HashSet<>();
+    /** Ids of the transactions that occupy a slot. */
+    private final Set<Long> openTransactionIds = new HashSet<>();
 
-    private boolean listed;
+    private boolean hasMemberList;
 
-    /** The last expiry of all that was taken. */
-    private Duration owedUntil = Duration.ZERO;
+    /** Latest expiry of all accepted transactions. */
+    private Duration lastExpiry = Duration.ZERO;
 
-    private final List<Integer> free = new ArrayList<>();
+    private final List<Integer> freeSlots = new ArrayList<>();
 
-    /** Null where gossip is off. */
-    private PeerHealthExchange neighbours;
+    /** Null if gossip is off. */
+    private PeerHealthExchange peerHealth;
 
-    /** How many others say that their lists have closed anything. */
-    private int telling;
+    /** Number of peers whose member lists have closed at least one node. */
+    private int reportingPeers;
 
-    /** Null where nothing is kept in mind beyond the txns that are out. */
-    private Ledger ledger;
+    /** Null if no state is kept beyond transactions in flight. */
+    private RecoveryCoordinator recovery;
 
     Router(
-            Config config,
-            Clock clock,
+            RouterConfig config,
+            MonotonicClock clock,
             Counters counters,
             Log log,
             EventLoop loop,
             int nodeConnections) {
-        this.setup = config.setup();
+        this.settings = config.settings();
         this.clock = clock;
         this.counters = counters;
         this.log = log;
         this.loop = loop;
-        pace = new LoopLagMonitor(setup.settings().clockStep());
-        members = new MemberList(setup, clock, log);
-        fleet =
-                new Fleet(
-                        setup,
+        loopLag = new LoopLagMonitor(settings.routing().clockStep());
+        members = new MemberList(settings, clock, log);
+        connectionManager =
+                new NodeConnectionManager(
+                        settings,
                         clock,
-                        pace,
+                        loopLag,
                         counters,
                         log,
                         loop,
                         nodeConnections,
-                        (int) (config.memoryMb() << 20) / LONGEST_PART,
+                        (int) (config.memoryMb() << 20) / RESPONSE_MEMORY_DIVISOR,
                         this);
-        decide = new RoutingEngine(setup.settings(), this, new SplittableRandom(config.seed()));
+        engine = new RoutingEngine(settings.routing(), this, new SplittableRandom(config.seed()));
     }
 
-    /** Some list is there: before that, nothing can be served. */
-    boolean listed() {
-        return listed;
+    /** Returns whether a member list is loaded; nothing can be served before that. */
+    boolean hasMemberList() {
+        return hasMemberList;
     }
 
-    /** By then each txn that was taken so far is answered, or nobody waits for it any more. */
-    Duration owedUntil() {
-        return owedUntil;
+    /** Returns the time by which each accepted transaction is answered or has expired. */
+    Duration lastExpiry() {
+        return lastExpiry;
     }
 
-    /** Where the news come from, which go before all that is sent. */
-    void watch(Watch watch) {
-        fleet.news(watch::look);
+    /** Sets the discovery client, whose pending updates are read before anything is sent. */
+    void setDiscoveryClient(DiscoveryClient client) {
+        connectionManager.discoveryReader(client::readPending);
     }
 
-    /**
-     * Who remembers for a later life, and what is remembered from an earlier one. Before the first
-     * list.
-     */
-    void remembers(Consumer<MemberList> memory) {
-        memory.accept(members);
+    /** Configures persistence of the member list. Called before the first list is applied. */
+    void configureMemberList(Consumer<MemberList> configurer) {
+        configurer.accept(members);
     }
 
-    /** How many nodes are closed by words that are remembered. */
-    int closings() {
-        return members.closings();
+    /** Returns the number of nodes recorded as closed. */
+    int closedNodes() {
+        return members.closedNodes();
     }
 
-    int witnesses() {
-        return telling;
+    /** Returns the number of peers whose member lists have closed at least one node. */
+    int reporters() {
+        return reportingPeers;
     }
 
     /**
-     * What is kept in mind beyond the txns that are out, and, where not null, what a txn with a key
-     * waits for. Before the first list.
+     * Sets the recovery coordinator and, if not null, the barrier that a keyed transaction awaits
+     * before it is sent. Called before the first list is applied.
      */
-    void keeps(Ledger by, Fleet.Kept before) {
-        ledger = by;
-        fleet.kept(before);
+    void setRecovery(
+            RecoveryCoordinator coordinator, NodeConnectionManager.PersistenceBarrier barrier) {
+        recovery = coordinator;
+        connectionManager.persistenceBarrier(barrier);
     }
 
-    /** Others' words on nodes come through these. Before the first list. */
-    void hears(PeerHealthExchange others) {
-        neighbours = others;
+    /** Sets the exchange of health reports with peers. Called before the first list is applied. */
+    void setPeerHealth(PeerHealthExchange health) {
+        peerHealth = health;
     }
 
     void close() {
-        fleet.close();
+        connectionManager.close();
     }
 
     /**
-     * Other settings from now on, for what is taken and sent; the caller asks for the whole list
-     * then.
+     * Applies new settings to transactions accepted and sent from now on; the caller then requests
+     * the complete member list.
      */
-    void settings(Setup next) {
+    void applySettings(RouterSettings newSettings) {
         tick();
-        setup = next;
-        pace.setStep(next.settings().clockStep());
-        members.settings(next);
-        fleet.settings(next);
-        decide.applySettings(next.settings());
-        if (ledger != null) {
-            ledger.settings(next);
+        settings = newSettings;
+        loopLag.setStep(newSettings.routing().clockStep());
+        members.applySettings(newSettings);
+        connectionManager.applySettings(newSettings);
+        engine.applySettings(newSettings.routing());
+        if (recovery != null) {
+            recovery.applySettings(newSettings);
         }
     }
 
-    // ---- words of the network
+    // ---- network events
 
     @Override
     public void tick() {
         Duration now = clock.now();
-        Duration behind = pace.totalLag(now);
-        decide.setTime(now);
-        if (behind.compareTo(told) > 0) {
-            decide.recordPause(behind.minus(told));
-            told = behind;
+        Duration lag = loopLag.totalLag(now);
+        engine.setTime(now);
+        if (lag.compareTo(reported) > 0) {
+            engine.recordPause(lag.minus(reported));
+            reported = lag;
         }
     }
 
-    LoopLagMonitor pace() {
-        return pace;
+    LoopLagMonitor loopLag() {
+        return loopLag;
     }
 
-    Clock clock() {
+    MonotonicClock clock() {
         return clock;
     }
 
     @Override
-    public void list(Tree list) {
-        List<Member> read = members.read(list);
-        read.forEach(m -> fleet.known(m.row().node(), m.address(), m.startedMs()));
-        listed = true;
+    public void listReceived(JsonObject list) {
+        List<Member> received = members.read(list);
+        received.forEach(
+                member ->
+                        connectionManager.updateNode(
+                                member.row().node(), member.address(), member.startedMs()));
+        hasMemberList = true;
         tick();
-        List<NodeRow> rows = new ArrayList<>(read.size());
-        for (Member m : read) {
-            rows.add(m.row());
+        List<NodeRow> rows = new ArrayList<>(received.size());
+        for (Member member : received) {
+            rows.add(member.row());
         }
-        decide.updateMembers(list.flag("reset"), rows);
-        if (neighbours != null) {
-            read.forEach(m -> neighbours.addNode(m.row().node(), m.id()));
+        engine.updateMembers(list.getBoolean("reset"), rows);
+        if (peerHealth != null) {
+            received.forEach(member -> peerHealth.addNode(member.row().node(), member.id()));
         }
-        if (ledger != null) {
-            ledger.listed(read);
+        if (recovery != null) {
+            recovery.updateMembers(received);
         }
-        forget();
+        removeDepartedNodes();
     }
 
-    /** Who has left the list goes from all tables at once, as soon as nothing of it is out. */
-    private void forget() {
-        members.forget(
+    /**
+     * Removes nodes that have left the member list from all tables, each as soon as nothing is in
+     * flight to it.
+     */
+    private void removeDepartedNodes() {
+        members.removeDeparted(
                 node -> {
-                    boolean over = decide.forgetNode(node);
-                    if (over) {
-                        fleet.forget(node);
-                        if (neighbours != null) {
-                            neighbours.removeNode(node);
+                    boolean removed = engine.forgetNode(node);
+                    if (removed) {
+                        connectionManager.removeNode(node);
+                        if (peerHealth != null) {
+                            peerHealth.removeNode(node);
                         }
-                        if (ledger != null) {
-                            ledger.forget(node);
+                        if (recovery != null) {
+                            recovery.removeNode(node);
                         }
                     }
-                    return over;
+                    return removed;
                 });
-        counters.nodeRows = members.indices();
+        counters.nodeRows = members.indexCount();
     }
 
-    /** Discovery itself has told a list. */
-    void told() {
-        if (ledger != null) {
-            ledger.discovery(true);
+    /** Records that discovery itself, rather than the configuration, has provided a member list. */
+    void reported() {
+        if (recovery != null) {
+            recovery.setDiscoveryAvailable(true);
         }
     }
 
     @Override
     public void listFailed() {
         tick();
-        if (ledger != null) {
-            ledger.discovery(false);
+        if (recovery != null) {
+            recovery.setDiscoveryAvailable(false);
         }
-        decide.memberListFailed();
+        engine.memberListFailed();
     }
 
     @Override
-    public Exchange take(
-            Statement statement, ByteBuf message, Asker asker, Duration waited, int tenant) {
-        Integer type = setup.types().get(statement.type);
-        if (type == null || !members.mayHave(statement.group)) {
+    public Exchange begin(
+            Statement statement,
+            ByteBuf message,
+            ResponseReceiver receiver,
+            Duration timeSinceReceived,
+            int tenant) {
+        Integer type = settings.typeIndices().get(statement.type);
+        if (type == null || !members.mayHaveGroup(statement.group)) {
             return null;
         }
-        // Guards against one client's query that passes for another's: nodes tell txns apart by
-        // nothing else.
-        if (!ids.add(statement.id)) {
+        // Nodes distinguish transactions by id only, so a second transaction with an open id could
+        // receive the first one's result.
+        if (!openTransactionIds.add(statement.idHash)) {
             return null;
         }
         tick();
-        boolean marked =
-                ledger != null
-                        && ledger.keeps()
-                        && statement.mark != 0
-                        && setup.settings().transactionTypes().get(type).repeatability()
+        boolean tracked =
+                recovery != null
+                        && recovery.tracksKeys()
+                        && statement.idempotencyKeyHash != 0
+                        && settings.routing().transactionTypes().get(type).repeatability()
                                 == Repeatability.DEDUPLICATED;
-        long key = marked ? InDoubtKeys.hash(statement.group, statement.mark) : 0;
-        if (marked && !ledger.take(key, clock.now())) {
-            return refused(statement, message, asker);
+        long key = tracked ? InDoubtKeys.hash(statement.group, statement.idempotencyKeyHash) : 0;
+        if (tracked && !recovery.begin(key, clock.now())) {
+            return declineUntracked(statement, message, receiver);
         }
-        int slot = free.isEmpty() ? slots.size() : free.remove(free.size() - 1);
-        Exchange exchange = new Exchange(this, slot, statement, message, asker, key);
-        if (slot == slots.size()) {
-            slots.add(exchange);
+        int slot = freeSlots.isEmpty() ? exchanges.size() : freeSlots.remove(freeSlots.size() - 1);
+        Exchange exchange = new Exchange(this, slot, statement, message, receiver, key);
+        if (slot == exchanges.size()) {
+            exchanges.add(exchange);
         } else {
-            slots.set(slot, exchange);
+            exchanges.set(slot, exchange);
         }
         counters.startedTransactions++;
         counters.openTransactions++;
         Duration now = clock.now();
-        Duration token =
-                !setup.tokensCarried()
+        Duration timeSinceLastWrite =
+                !settings.hasSessionTokens()
                         ? null
-                        : statement.afterMs == 0
+                        : statement.lastWriteMs == 0
                                 ? Duration.ZERO
-                                : now.minus(clock.since(statement.afterMs));
-        Duration patience = patience(statement, type);
-        Duration expiry = now.minus(waited).plus(patience);
-        owedUntil = expiry.compareTo(owedUntil) > 0 ? expiry : owedUntil;
-        exchange.taken(
-                decide.accept(
+                                : now.minus(clock.sinceStart(statement.lastWriteMs));
+        Duration timeout = clientTimeout(statement, type);
+        Duration expiry = now.minus(timeSinceReceived).plus(timeout);
+        lastExpiry = expiry.compareTo(lastExpiry) > 0 ? expiry : lastExpiry;
+        exchange.accepted(
+                engine.accept(
                         slot,
                         type,
                         tenant,
-                        Setup.session(statement.key),
+                        RouterSettings.sessionSlot(statement.keyHash),
                         statement.group,
-                        patience,
-                        token,
-                        waited,
-                        marked ? ledger.ran(key) : null));
+                        timeout,
+                        timeSinceLastWrite,
+                        timeSinceReceived,
+                        tracked ? recovery.mayHaveRunSince(key) : null));
         return exchange;
     }
 
     /**
-     * It cannot be kept in mind, so it is not begun: told at once, with the longest come-back time
-     * that clients heed.
+     * Declines a keyed transaction that cannot be tracked, with the longest retry delay that
+     * clients honor. It was never sent.
      */
-    private Exchange refused(Statement statement, ByteBuf message, Asker asker) {
-        ids.remove(statement.id);
+    private Exchange declineUntracked(
+            Statement statement, ByteBuf message, ResponseReceiver receiver) {
+        openTransactionIds.remove(statement.idHash);
         counters.startedTransactions++;
-        Exchange never = new Exchange(this, -1, statement, message, asker, 0);
-        never.decline(setup.settings().maxRetryDelay());
+        Exchange declined = new Exchange(this, -1, statement, message, receiver, 0);
+        declined.decline(settings.routing().maxRetryDelay());
         message.release();
-        return never;
+        return declined;
     }
 
     @Override
-    public void ended(
-            Exchange exchange, int node, SubmissionResult result, boolean told, NodeReport note) {
-        if (ledger != null) {
-            ledger.ended(exchange.key(), node, result, told, note, clock.now());
+    public void submissionEnded(
+            Exchange exchange,
+            int node,
+            SubmissionResult result,
+            boolean clientAnswered,
+            NodeReport report) {
+        if (recovery != null) {
+            recovery.recordSubmissionEnd(
+                    exchange.key(), node, result, clientAnswered, report, clock.now());
         }
     }
 
     @Override
-    public NodeReport believed(int node, NodeReport says) {
-        return ledger == null ? says : ledger.believed(node, says, clock.now());
+    public NodeReport trustedReport(int node, NodeReport report) {
+        return recovery == null ? report : recovery.trustedReport(node, report, clock.now());
     }
 
     @Override
-    public boolean may(Exchange exchange, int node) {
-        return ledger == null
+    public boolean maySend(Exchange exchange, int node) {
+        return recovery == null
                 || !exchange.statement().write
-                || ledger.mayWrite(exchange.key(), node, clock.now());
+                || recovery.mayWrite(exchange.key(), node, clock.now());
     }
 
     @Override
-    public int type(String name) {
-        return setup.types().getOrDefault(name, -1);
+    public int typeIndex(String name) {
+        return settings.typeIndices().getOrDefault(name, -1);
     }
 
-    /** Nobody waits longer than the settings let his type wait, whatever he says. */
-    private Duration patience(Statement statement, int type) {
-        long longest =
-                setup.settings().transactionTypes().get(type).totalClientTimeout().toMillis();
-        return Duration.ofMillis(Math.min(statement.waitMs, longest));
+    /** Returns the client's timeout, capped by the total timeout of the transaction type. */
+    private Duration clientTimeout(Statement statement, int type) {
+        long maxTimeoutMillis =
+                settings.routing().transactionTypes().get(type).totalClientTimeout().toMillis();
+        return Duration.ofMillis(Math.min(statement.timeoutMs, maxTimeoutMillis));
     }
 
     @Override
-    public void over(Exchange exchange) {
+    public void exchangeFinished(Exchange exchange) {
         if (exchange.key() != 0) {
-            ledger.over(exchange.key(), clock.now());
+            recovery.finish(exchange.key(), clock.now());
         }
-        slots.set(exchange.slot(), null);
-        ids.remove(exchange.statement().id);
-        free.add(exchange.slot());
+        exchanges.set(exchange.slot(), null);
+        openTransactionIds.remove(exchange.statement().idHash);
+        freeSlots.add(exchange.slot());
         counters.openTransactions--;
     }
 
     @Override
-    public void probed(int node, boolean answered, NodeReport report) {
+    public void probeCompleted(int node, boolean answered, NodeReport report) {
         tick();
-        if (ledger != null) {
-            ledger.probed(node, answered, report, clock.now());
+        if (recovery != null) {
+            recovery.recordProbe(node, answered, report, clock.now());
         }
-        decide.probeCompleted(node, answered, believed(node, report));
+        engine.probeCompleted(node, answered, trustedReport(node, report));
     }
 
-    // ---- what others say
+    // ---- peer reports
 
     @Override
     public long closedVersion() {
-        return members.closingsVersion();
+        return members.closedNodesVersion();
     }
 
     @Override
     public Map<String, long[]> closed() {
-        return members.closed();
+        return members.closures();
     }
 
-    /** What is closed elsewhere by lists that have not come here yet is closed here too. */
+    /** Closes nodes that enough peers report as closed by member lists newer than the one here. */
     @Override
-    public void peerReportsChanged(Witnesses witnesses) {
-        telling = witnesses.telling();
-        List<Witnesses.Word> newer = witnesses.newerThan(members.latest());
-        if (newer.isEmpty()) {
+    public void peerReportsChanged(PeerClosureReports reports) {
+        reportingPeers = reports.reportingInstances();
+        List<PeerClosureReports.Closure> newerClosures =
+                reports.closuresNewerThan(members.latestGeneration());
+        if (newerClosures.isEmpty()) {
             return;
         }
-        Map<Long, String> ids = new HashMap<>();
-        members.ids().forEach(id -> ids.put(PeerRegistry.hash(id), id));
-        List<Member> closed = new ArrayList<>();
-        for (Witnesses.Word word : newer) {
-            String id = ids.get(word.node());
+        Map<Long, String> idsByHash = new HashMap<>();
+        members.nodeIds().forEach(id -> idsByHash.put(PeerRegistry.hash(id), id));
+        List<Member> closedMembers = new ArrayList<>();
+        for (PeerClosureReports.Closure closure : newerClosures) {
+            String id = idsByHash.get(closure.nodeHash());
             Member member =
                     id == null
                             ? null
-                            : members.closedElsewhere(id, word.generation(), word.startedMs());
+                            : members.closeByPeerReport(
+                                    id, closure.generation(), closure.startedMs());
             if (member != null) {
-                closed.add(member);
+                closedMembers.add(member);
                 log.info(
                         "closed-elsewhere",
                         "id",
                         id,
                         "generation",
-                        word.generation(),
+                        closure.generation(),
                         "latest_here",
-                        members.latest());
+                        members.latestGeneration());
             }
         }
-        if (!closed.isEmpty()) {
+        if (!closedMembers.isEmpty()) {
             tick();
-            decide.updateMembers(false, closed.stream().map(Member::row).toList());
-            if (ledger != null) {
-                ledger.listed(closed);
+            engine.updateMembers(false, closedMembers.stream().map(Member::row).toList());
+            if (recovery != null) {
+                recovery.updateMembers(closedMembers);
             }
         }
     }
 
     @Override
     public HealthObservation observeHealth(int node) {
-        return decide.observeHealth(node);
+        return engine.observeHealth(node);
     }
 
     @Override
-    public void setSuspected(int node, boolean doubted) {
+    public void setSuspected(int node, boolean suspected) {
         tick();
-        decide.setSuspected(node, doubted);
+        engine.setSuspected(node, suspected);
     }
 
     @Override
     public void better(int node) {
         tick();
-        decide.advanceTrial(node);
+        engine.advanceTrial(node);
     }
 
-    // ---- results of the module
+    // ---- actions of the routing engine
 
     @Override
-    public void submit(int txn, int node, Duration limit) {
+    public void submit(int slot, int node, Duration timeout) {
         counters.submitted++;
-        Exchange exchange = slots.get(txn);
+        Exchange exchange = exchanges.get(slot);
         if (exchange.key() != 0) {
-            ledger.sends(exchange.key(), clock.now());
+            recovery.recordSend(exchange.key(), clock.now());
         }
-        fleet.submit(exchange, node, limit);
+        connectionManager.submit(exchange, node, timeout);
     }
 
     @Override
-    public void decline(int txn, Duration pause) {
-        slots.get(txn).decline(pause);
+    public void decline(int slot, Duration retryAfter) {
+        exchanges.get(slot).decline(retryAfter);
     }
 
     @Override
-    public void reportUnknownOutcome(int txn) {
-        slots.get(txn).rollBack();
+    public void reportUnknownOutcome(int slot) {
+        exchanges.get(slot).rollBack();
     }
 
     @Override
     public void closeIdleConnections(int node) {
-        fleet.release(node);
+        connectionManager.closeIdleConnections(node);
     }
 
     @Override
     public void probe(int node) {
-        fleet.probe(node);
+        connectionManager.probe(node);
     }
 
-    /** The watch goes on by itself on sockets. */
+    /** Does nothing: the discovery client runs continuously. */
     @Override
     public void watchMemberList() {}
 
     @Override
-    public void scheduleWakeUp(Duration in) {
-        pace.expectTick(clock.now().plus(in));
+    public void scheduleWakeUp(Duration delay) {
+        loopLag.expectTick(clock.now().plus(delay));
         loop.schedule(
                 () -> {
                     try {
                         tick();
-                        pace.recordTick(clock.now());
+                        loopLag.recordTick(clock.now());
                         counters.longestLoopTurnMillis =
                                 Math.max(
                                         counters.longestLoopTurnMillis,
-                                        pace.longestLag().toMillis());
-                        decide.onWakeUp();
-                        if (neighbours != null) {
-                            neighbours.tick(clock.now());
+                                        loopLag.longestLag().toMillis());
+                        engine.onWakeUp();
+                        if (peerHealth != null) {
+                            peerHealth.tick(clock.now());
                         }
-                        if (ledger != null) {
-                            ledger.beat(clock.now(), members.indices(), decide::observeHealth);
+                        if (recovery != null) {
+                            recovery.tick(clock.now(), members.indexCount(), engine::observeHealth);
                         }
-                        forget();
-                    } catch (RuntimeException fault) {
-                        // A timer's fault would vanish in its future, and the clock's beat with it.
-                        log.warn("beat", "fault", fault);
+                        removeDepartedNodes();
+                    } catch (RuntimeException e) {
+                        // An exception in a timer task would be stored in its future unnoticed, and
+                        // the periodic tick would stop.
+                        log.warn("beat", "fault", e);
                     }
                 },
-                in.toNanos(),
+                delay.toNanos(),
                 TimeUnit.NANOSECONDS);
     }
 }
--- a/src/main/java/dillfront/router/Status.java
+++ b/src/main/java/dillfront/router/StatusFormatter.java
@@ -6,15 +6,12 @@
 import java.io.StringWriter;
 import java.util.Map;
 
-/**
- * What an instance says of itself, in sections of names and values: to be read by people, a line a
- * section, or by programs.
- */
-final class Status {
+/** Formats an instance's status as text, one line per section, or as JSON. */
+final class StatusFormatter {
 
-    private Status() {}
+    private StatusFormatter() {}
 
-    static String table(Map<String, Object> sections) {
+    static String toText(Map<String, Object> sections) {
         StringBuilder out = new StringBuilder();
         sections.forEach(
                 (section, rows) -> {
@@ -35,22 +32,22 @@
         return out.toString();
     }
 
-    static String json(Map<String, Object> sections) {
+    static String toJson(Map<String, Object> sections) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
-            object(out, sections);
-        } catch (IOException none) {
-            throw new IllegalStateException(none);
+            writeObject(out, sections);
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
         }
         return text.append('\n').toString();
     }
 
-    private static void object(JsonGenerator out, Map<?, ?> rows) throws IOException {
+    private static void writeObject(JsonGenerator out, Map<?, ?> rows) throws IOException {
         out.writeStartObject();
         for (Map.Entry<?, ?> row : rows.entrySet()) {
             out.writeFieldName(String.valueOf(row.getKey()));
             if (row.getValue() instanceof Map<?, ?> inner) {
-                object(out, inner);
+                writeObject(out, inner);
             } else if (row.getValue() instanceof Boolean flag) {
                 out.writeBoolean(flag);
             } else if (row.getValue() instanceof Number number) {
--- a/src/main/java/dillfront/router/Rehearsal.java
+++ b/src/main/java/dillfront/router/WarmUpRun.java
@@ -1,8 +1,8 @@
 package dillfront.router;
 
 import dillfront.common.logging.Log;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Config;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -14,12 +14,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Starts one router whose only node is its own door, and lets one client ask it: a txn comes back
- * to the door, is refused there since its id is open, and so goes through all that a router needs
- * at its start. The build runs this and keeps the classes that were loaded, so that a router that
- * starts again serves sooner. Nothing leaves the machine.
+ * Starts a router whose only node is its own listener and sends it queries: a transaction returns
+ * to the listener, is refused there because its id is open, and so passes through the code that a
+ * starting router needs. The build runs this and archives the classes loaded, so that later starts
+ * are faster. Uses the loopback interface only.
  */
-public final class Rehearsal {
+public final class WarmUpRun {
 
     private static final String CONFIG =
             "{'name':'rehearsal','listen':'%1$s','discovery':'127.0.0.1:1','seed':'1',"
@@ -33,40 +33,42 @@
                     + "['eventual','mutate'],'listRole':'static','guards':'off','tokens':'brought'},"
                     + "'rules':{'coldFrom':0.2,'coldUs':9000000,'tipMultiple':2.0,'tipAfterUs':1000000}}}";
 
-    private Rehearsal() {}
+    private WarmUpRun() {}
 
-    /** Runs one router against itself for a moment, so that the classes it needs are loaded. */
-    public static void run(Log log) throws IOException, BadConfig {
+    /** Runs one router against itself so that the classes it needs are loaded. */
+    public static void run(Log log) throws IOException, ConfigException {
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket portReservation =
+                new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portReservation.getLocalPort();
         }
         String config = String.format(CONFIG, "127.0.0.1:" + port).replace('\'', '"');
-        Config read =
-                Config.read(new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
-        Daemon daemon = new Daemon(read, log);
-        daemon.hear(() -> read);
+        RouterConfig parsedConfig =
+                RouterConfig.read(
+                        new ByteArrayInputStream(config.getBytes(StandardCharsets.US_ASCII)));
+        RouterServer daemon = new RouterServer(parsedConfig, log);
+        daemon.registerSignals(() -> parsedConfig);
         daemon.start();
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(5000);
-            ByteBuf all = Messages.startup(Unpooled.buffer(), "worker", "catalog");
-            Messages.query(all, "");
+            ByteBuf queries = Messages.startup(Unpooled.buffer(), "worker", "catalog");
+            Messages.query(queries, "");
             Messages.query(
-                    all,
+                    queries,
                     "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d=400,cluster=1,after=1 */");
             Messages.query(
-                    all,
+                    queries,
                     "INSERT INTO objects (oid, body) VALUES ('k', '\\x00') RETURNING body "
                             + "/* id=1,c=move,d=400,cluster=1 */");
-            client.getOutputStream().write(all.array(), 0, all.readableBytes());
-            for (int readies = 0; readies < 4; ) {
+            client.getOutputStream().write(queries.array(), 0, queries.readableBytes());
+            for (int readyCount = 0; readyCount < 4; ) {
                 int type = client.getInputStream().read();
                 byte[] length = client.getInputStream().readNBytes(4);
                 if (length.length < 4) {
-                    throw new IOException("the rehearsal's router closed its client");
+                    throw new IOException("the router closed the warm-up client's connection");
                 }
                 client.getInputStream().readNBytes(Unpooled.wrappedBuffer(length).getInt(0) - 4);
-                readies += type == 'Z' ? 1 : 0;
+                readyCount += type == 'Z' ? 1 : 0;
             }
         }
         daemon.stop();
--- a/src/main/java/dillfront/router/backend/Submission.java
+++ b/src/main/java/dillfront/router/backend/Submission.java
@@ -1,7 +1,7 @@
 package dillfront.router.backend;
 
-import dillfront.router.exchange.Answer;
 import dillfront.router.exchange.Exchange;
+import dillfront.router.exchange.NodeResponse;
 import dillfront.router.pgwire.Statement;
 import dillfront.routing.api.NodeReport;
 import dillfront.routing.api.SubmissionResult;
@@ -12,58 +12,64 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** A txn at a node. */
-final class Submission extends Call {
+/** One submission of a transaction to a node. */
+final class Submission extends NodeRequest {
 
     private final Exchange exchange;
-    private final long endNanos;
+    private final long deadlineNanos;
 
-    Submission(Pool pool, Exchange exchange, Duration limit) {
+    Submission(NodeConnectionPool pool, Exchange exchange, Duration timeout) {
         super(pool);
         this.exchange = exchange;
-        endNanos = startedNanos + limit.toNanos();
+        deadlineNanos = startedNanos + timeout.toNanos();
     }
 
     @Override
-    boolean stands() {
-        return exchange.stands(pool.node);
+    boolean isStillValid() {
+        return exchange.maySend(pool.node);
     }
 
-    /** The client's statement as it came, but for how long to wait. */
+    /** Writes the client's statement unchanged, except for the time limit. */
     @Override
-    void write(ChannelHandlerContext ctx, ChannelPromise last) {
+    void write(ChannelHandlerContext ctx, ChannelPromise promise) {
         Statement statement = exchange.statement();
         ByteBuf message = exchange.message();
         int start = message.readerIndex();
         int size = message.readableBytes();
-        long leftMs = Math.max(1, (endNanos - System.nanoTime()) / 1_000_000);
-        String digits = Long.toString(leftMs);
-        if (digits.length() == statement.waitTo - statement.waitFrom) {
-            // As long as the client's own: written over it, since the message is this txn's alone,
-            // and sent in one piece.
-            message.setCharSequence(start + statement.waitFrom, digits, StandardCharsets.US_ASCII);
-            ctx.writeAndFlush(message.retainedSlice(start, size), last);
+        long remainingMillis = Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000);
+        String digits = Long.toString(remainingMillis);
+        if (digits.length() == statement.timeoutEnd - statement.timeoutStart) {
+            // Same number of digits as the client's: overwritten in place, since the message
+            // belongs to this transaction alone, and sent as one buffer.
+            message.setCharSequence(
+                    start + statement.timeoutStart, digits, StandardCharsets.US_ASCII);
+            ctx.writeAndFlush(message.retainedSlice(start, size), promise);
             return;
         }
         ByteBuf head = ctx.alloc().buffer(5 + digits.length());
         head.writeByte('Q')
-                .writeInt(size - 1 - (statement.waitTo - statement.waitFrom) + digits.length());
+                .writeInt(
+                        size
+                                - 1
+                                - (statement.timeoutEnd - statement.timeoutStart)
+                                + digits.length());
         ByteBufUtil.writeAscii(head, digits);
         ctx.write(head.readRetainedSlice(5));
-        ctx.write(message.retainedSlice(start + 5, statement.waitFrom - 5));
+        ctx.write(message.retainedSlice(start + 5, statement.timeoutStart - 5));
         ctx.write(head);
         ctx.writeAndFlush(
-                message.retainedSlice(start + statement.waitTo, size - statement.waitTo), last);
+                message.retainedSlice(start + statement.timeoutEnd, size - statement.timeoutEnd),
+                promise);
     }
 
     @Override
-    void over(
+    void onEnd(
             SubmissionResult result,
-            Duration took,
-            Answer answer,
-            NodeReport note,
+            Duration duration,
+            NodeResponse response,
+            NodeReport parameterReport,
             NodeReport report) {
-        pool.fleet.counters.ended(result);
-        exchange.ended(pool.node, result, took, answer, note, report);
+        pool.manager.counters.ended(result);
+        exchange.submissionEnded(pool.node, result, duration, response, parameterReport, report);
     }
 }
--- a/src/main/java/dillfront/router/discovery/MemberList.java
+++ b/src/main/java/dillfront/router/discovery/MemberList.java
@@ -2,9 +2,9 @@
 
 import dillfront.common.logging.Log;
 import dillfront.common.network.Address;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Setup;
-import dillfront.router.config.Tree;
+import dillfront.router.config.JsonObject;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterSettings;
 import dillfront.routing.api.MemberState;
 import dillfront.routing.api.NodeRow;
 import java.net.InetSocketAddress;
@@ -19,210 +19,209 @@
 import java.util.TreeSet;
 import java.util.function.IntPredicate;
 
-/** Reads discovery's lists. Ids become indices here. */
+/** Reads discovery's member lists and maps node ids to indices. */
 public final class MemberList {
 
-    private Setup setup;
-    private final Clock clock;
+    private RouterSettings settings;
+    private final MonotonicClock clock;
     private final Log log;
 
-    /** Its index, and when it last started, in Unix time, as the last list had it. */
-    private record Known(int index, long startedMs) {}
+    /** A node's index and its start time (Unix time) in the last list. */
+    private record IndexedNode(int index, long startedMs) {}
 
-    /** Of the machines in the list, and of those that have left it until they are forgotten. */
-    private final Map<String, Known> nodes = new HashMap<>();
+    /** Listed nodes, and departed nodes whose index is not yet released. */
+    private final Map<String, IndexedNode> nodes = new HashMap<>();
 
-    private final Closings closings = new Closings();
+    private final ClosedNodes closedNodes = new ClosedNodes();
 
-    /** Ids of those that have left the list. */
-    private final Set<String> left = new TreeSet<>();
+    /** Ids of nodes that have left the list. */
+    private final Set<String> departed = new TreeSet<>();
 
-    /** Indices that may be given again, and how many there are in all. */
-    private final ArrayDeque<Integer> free = new ArrayDeque<>();
+    /** Indices available for reuse, and the number of indices ever assigned. */
+    private final ArrayDeque<Integer> freeIndices = new ArrayDeque<>();
 
-    private int indices;
+    private int indexCount;
 
-    /** Of the latest list that was read. */
-    private long latest = -1;
+    /** Generation of the latest list read. */
+    private long latestGeneration = -1;
 
-    /** The last row of each, to be said again where others close it. */
-    private final Map<String, Member> rows = new HashMap<>();
+    /** Last member of each node, reported again when peers close the node. */
+    private final Map<String, Member> membersById = new HashMap<>();
 
-    /** Grows with the groups that any list has named. */
+    /** Groups named by any list; only grows. */
     private final Set<Integer> groups = new HashSet<>();
 
-    public MemberList(Setup setup, Clock clock, Log log) {
-        this.setup = setup;
+    public MemberList(RouterSettings settings, MonotonicClock clock, Log log) {
+        this.settings = settings;
         this.clock = clock;
         this.log = log;
     }
 
-    /** What is read from now on is read by these. */
-    public void settings(Setup next) {
-        setup = next;
+    /** Applies new settings to lists read from now on. */
+    public void applySettings(RouterSettings newSettings) {
+        settings = newSettings;
     }
 
-    /**
-     * A word that closed a node, heard in an earlier life: only a newer word or a new start opens
-     * it again.
-     */
-    public void recall(String id, MemberState standing, long startedMs, long generation) {
-        closings.close(id, standing, startedMs, generation);
+    /** Restores a persisted closure; only a newer list or a restart of the node reopens it. */
+    public void restoreClosed(String id, MemberState state, long startedMs, long generation) {
+        closedNodes.close(id, state, startedMs, generation);
     }
 
-    /** Who keeps such words for a later life. */
-    public void keeper(Closings.Keeper keeper) {
-        closings.keeper(keeper);
+    /** Sets the listener that persists closures. */
+    public void setClosureListener(ClosedNodes.Listener listener) {
+        closedNodes.listener(listener);
     }
 
-    /** How many nodes are closed by words that are remembered. */
-    public int closings() {
-        return closings.size();
+    /** Returns the number of nodes recorded as closed. */
+    public int closedNodes() {
+        return closedNodes.size();
     }
 
-    /** Whether any list has named this group, or none has come yet. */
-    public boolean mayHave(int group) {
+    /** Returns whether any list has named this group, or no list was read yet. */
+    public boolean mayHaveGroup(int group) {
         return groups.isEmpty() || groups.contains(group);
     }
 
-    /** An entry that cannot be read is left out, and does not spoil the others. */
-    public List<Member> read(Tree list) {
+    /** Reads a list; entries that are malformed are logged and skipped. */
+    public List<Member> read(JsonObject list) {
         List<Member> members = new ArrayList<>();
-        long generation = list.whole("generation");
-        latest = Math.max(latest, generation);
-        Set<String> open = new TreeSet<>();
-        if (list.flag("reset")) {
-            open.addAll(nodes.keySet());
-            open.removeAll(left);
-            left.addAll(open);
+        long generation = list.getLong("generation");
+        latestGeneration = Math.max(latestGeneration, generation);
+        Set<String> omitted = new TreeSet<>();
+        if (list.getBoolean("reset")) {
+            omitted.addAll(nodes.keySet());
+            omitted.removeAll(departed);
+            departed.addAll(omitted);
         }
-        for (Tree entry : list.trees("instances")) {
-            String id = entry.text("instanceId");
-            InetSocketAddress address = Address.parse(entry.text("hostPort"));
-            MemberState standing =
-                    switch (entry.text("lifecycle")) {
+        for (JsonObject entry : list.getObjects("instances")) {
+            String id = entry.getString("instanceId");
+            InetSocketAddress address = Address.parse(entry.getString("hostPort"));
+            MemberState state =
+                    switch (entry.getString("lifecycle")) {
                         case "ready" -> MemberState.READY;
                         case "draining" -> MemberState.DRAINING;
                         case "gone" -> MemberState.GONE;
                         default -> null;
                     };
-            if (id.isEmpty() || address == null || standing == null) {
+            if (id.isEmpty() || address == null || state == null) {
                 log.warn(
                         "list-entry-left-out",
                         "id",
                         id,
                         "address",
-                        entry.text("hostPort"),
+                        entry.getString("hostPort"),
                         "lifecycle",
-                        entry.text("lifecycle"));
+                        entry.getString("lifecycle"));
                 continue;
             }
-            long startedMs = entry.whole("startedAtMs");
-            MemberState holds = closings.heard(id, standing, startedMs, generation);
-            if (holds != standing) {
+            long startedMs = entry.getLong("startedAtMs");
+            MemberState effective = closedNodes.update(id, state, startedMs, generation);
+            if (effective != state) {
                 log.warn(
                         "list-older",
                         "id",
                         id,
                         "says",
-                        standing,
+                        state,
                         "holds",
-                        holds,
+                        effective,
                         "generation",
                         generation);
-                standing = holds;
+                state = effective;
             }
-            open.remove(id);
-            if (standing == MemberState.GONE) {
+            omitted.remove(id);
+            if (state == MemberState.GONE) {
                 if (!nodes.containsKey(id)) {
                     continue;
                 }
-                left.add(id);
+                departed.add(id);
             } else {
-                left.remove(id);
+                departed.remove(id);
             }
-            Known before = nodes.get(id);
-            int node = before != null ? before.index : free.isEmpty() ? indices++ : free.poll();
-            nodes.put(id, new Known(node, startedMs));
-            groups.add((int) entry.whole("cell"));
-            rows.put(
+            IndexedNode previous = nodes.get(id);
+            int node =
+                    previous != null
+                            ? previous.index
+                            : freeIndices.isEmpty() ? indexCount++ : freeIndices.poll();
+            nodes.put(id, new IndexedNode(node, startedMs));
+            groups.add((int) entry.getLong("cell"));
+            membersById.put(
                     id,
                     new Member(
                             id,
                             new NodeRow(
                                     node,
-                                    (int) entry.whole("cell"),
-                                    setup.zone(entry.text("zone")),
-                                    entry.number("weight", 1),
-                                    entry.text("role").equals("leader"),
-                                    startedMs == 0 ? null : clock.since(startedMs),
-                                    standing),
+                                    (int) entry.getLong("cell"),
+                                    settings.zoneIndex(entry.getString("zone")),
+                                    entry.getDouble("weight", 1),
+                                    entry.getString("role").equals("leader"),
+                                    startedMs == 0 ? null : clock.sinceStart(startedMs),
+                                    state),
                             address,
                             startedMs));
-            members.add(rows.get(id));
+            members.add(membersById.get(id));
         }
-        // A whole list closes those that it leaves out.
-        for (String id : open) {
-            closings.close(id, MemberState.GONE, nodes.get(id).startedMs, generation);
+        // A complete list closes the nodes that it omits.
+        for (String id : omitted) {
+            closedNodes.close(id, MemberState.GONE, nodes.get(id).startedMs, generation);
         }
-        closings.trim(nodes.size());
+        closedNodes.trim(nodes.size());
         return members;
     }
 
     /**
-     * Gives back the index of each node that has left the list, if nobody holds anything of it any
-     * more.
+     * Releases the index of each departed node for which the predicate confirms that nothing refers
+     * to it.
      */
-    public void forget(IntPredicate over) {
-        for (Iterator<String> ids = left.iterator(); ids.hasNext(); ) {
+    public void removeDeparted(IntPredicate isReleasable) {
+        for (Iterator<String> ids = departed.iterator(); ids.hasNext(); ) {
             String id = ids.next();
-            if (over.test(nodes.get(id).index)) {
-                free.add(nodes.remove(id).index);
-                rows.remove(id);
+            if (isReleasable.test(nodes.get(id).index)) {
+                freeIndices.add(nodes.remove(id).index);
+                membersById.remove(id);
                 ids.remove();
             }
         }
     }
 
-    /** Of all nodes that a list has named and that are not forgotten. */
-    public Set<String> ids() {
+    /** Returns the ids of all nodes that have an index. */
+    public Set<String> nodeIds() {
         return Set.copyOf(nodes.keySet());
     }
 
-    /** Of the latest list that was read; negative where none was. */
-    public long latest() {
-        return latest;
+    /** Returns the generation of the latest list read; negative if none was read. */
+    public long latestGeneration() {
+        return latestGeneration;
     }
 
-    /** Changes with closings(). */
-    public long closingsVersion() {
-        return closings.version();
+    /** Returns a version that changes with closures(). */
+    public long closedNodesVersion() {
+        return closedNodes.version();
     }
 
     /**
-     * What is closed now, by the ids of nodes: the generation of the list that closed it, and the
-     * start it spoke of.
+     * Returns the closures by node id: the generation of the list that closed the node, and the
+     * node's start time in it.
      */
-    public Map<String, long[]> closed() {
-        return closings.words();
+    public Map<String, long[]> closures() {
+        return closedNodes.entries();
     }
 
     /**
-     * Others' lists have closed this node, in a generation that no list here has reached: it is
-     * closed here as well, as by a word that is remembered. Null where it is not known here, has
-     * started since, or is closed already.
+     * Closes a node that peers' lists have closed in a generation not yet received here. Returns
+     * null if the node is unknown, has restarted since, or is closed already.
      */
-    public Member closedElsewhere(String id, long generation, long startedMs) {
-        Member member = rows.get(id);
+    public Member closeByPeerReport(String id, long generation, long startedMs) {
+        Member member = membersById.get(id);
         if (member == null
                 || member.row().standing() != MemberState.READY
                 || member.startedMs() > startedMs
-                || generation <= latest) {
+                || generation <= latestGeneration) {
             return null;
         }
-        closings.close(id, MemberState.DRAINING, startedMs, generation);
+        closedNodes.close(id, MemberState.DRAINING, startedMs, generation);
         NodeRow row = member.row();
-        Member now =
+        Member closedMember =
                 new Member(
                         id,
                         new NodeRow(
@@ -235,12 +234,12 @@
                                 MemberState.DRAINING),
                         member.address(),
                         member.startedMs());
-        rows.put(id, now);
-        return now;
+        membersById.put(id, closedMember);
+        return closedMember;
     }
 
-    /** How many indices were ever needed at once. */
-    public int indices() {
-        return indices;
+    /** Returns the maximum number of indices in use at once. */
+    public int indexCount() {
+        return indexCount;
     }
 }
--- a/src/main/java/dillfront/router/exchange/Exchange.java
+++ b/src/main/java/dillfront/router/exchange/Exchange.java
@@ -8,40 +8,45 @@
 import java.time.Duration;
 
 /**
- * One txn, from its last byte until it is answered and nothing of it is out: the only place where
- * the client side and the server side meet. Owns the message with the statement, and gives it back
- * when it is over.
+ * One transaction, from its last byte until it is answered and has no submission in flight: the
+ * only place where the client side and the node side meet. Owns the message with the statement and
+ * releases it at the end.
  */
 public final class Exchange {
 
-    private final Desk desk;
+    private final ExchangeHandler handler;
     private final int slot;
     private final Statement statement;
     private final ByteBuf message;
-    private final Asker asker;
+    private final ResponseReceiver receiver;
 
     /**
-     * What stands for its group and idempotency key where the router keeps them in mind
-     * (recovery.Doubts); else 0.
+     * Hash of the group and the idempotency key, if the router tracks the key
+     * (recovery.InDoubtKeys); otherwise 0.
      */
     private final long key;
 
     private TransactionHandle handle;
-    private int out;
+    private int pendingSubmissions;
     private boolean answered;
-    private boolean over;
+    private boolean finished;
 
     /**
-     * @param asker gets the answer; it owns the buffers that it is given
+     * @param receiver receives the response and takes ownership of its buffers
      */
     public Exchange(
-            Desk desk, int slot, Statement statement, ByteBuf message, Asker asker, long key) {
-        this.desk = desk;
+            ExchangeHandler handler,
+            int slot,
+            Statement statement,
+            ByteBuf message,
+            ResponseReceiver receiver,
+            long key) {
+        this.handler = handler;
         this.key = key;
         this.slot = slot;
         this.statement = statement;
         this.message = message;
-        this.asker = asker;
+        this.receiver = receiver;
     }
 
     public int slot() {
@@ -56,93 +61,96 @@
         return key;
     }
 
-    /** The client's message, as long as a submission is out. */
+    /** Returns the client's message; valid while a submission is in flight. */
     public ByteBuf message() {
         return message;
     }
 
-    /** The module has taken the txn; it may be answered already. */
-    public void taken(TransactionHandle by) {
-        handle = by;
+    /**
+     * Records that the routing engine has accepted the transaction, which may be answered already.
+     */
+    public void accepted(TransactionHandle newHandle) {
+        handle = newHandle;
         releaseIfOver();
     }
 
-    // ---- from the module
+    // ---- called by the routing engine
 
     public void submitted() {
-        out++;
+        pendingSubmissions++;
     }
 
-    public void decline(Duration pause) {
+    public void decline(Duration retryAfter) {
         answered = true;
-        asker.declined(pause);
+        receiver.declined(retryAfter);
         releaseIfOver();
     }
 
     public void rollBack() {
         answered = true;
-        asker.rolledBack();
+        receiver.rolledBack();
         releaseIfOver();
     }
 
-    // ---- from the client side
+    // ---- called by the client side
 
-    /** The client's connection is gone; an answer is not delivered any more. */
-    public void left() {
+    /** Records that the client has disconnected; no response is delivered from now on. */
+    public void clientDisconnected() {
         if (answered) {
             return;
         }
         answered = true;
-        desk.tick();
+        handler.tick();
         handle.clientDisconnected();
         releaseIfOver();
     }
 
-    // ---- from the server side
+    // ---- called by the node side
 
     /**
-     * Whether a submission that waited for its connection may still go; if not, it ends as unsent.
+     * Returns whether a submission that waited for a connection may still be sent; if not, it ends
+     * as unsent.
      */
-    public boolean stands(int node) {
-        desk.tick();
-        return !answered && desk.may(this, node) && handle.maySend(node);
+    public boolean maySend(int node) {
+        handler.tick();
+        return !answered && handler.maySend(this, node) && handle.maySend(node);
     }
 
     /**
-     * @param answer what the node answered where it committed, else null; taken over
+     * @param response the node's response if it committed, otherwise null; ownership is taken
      */
-    public void ended(
+    public void submissionEnded(
             int node,
             SubmissionResult result,
-            Duration took,
-            Answer answer,
-            NodeReport note,
+            Duration duration,
+            NodeResponse response,
+            NodeReport parameterReport,
             NodeReport report) {
-        desk.tick();
-        out--;
-        boolean told = answer != null && !answered;
-        desk.ended(this, node, result, told, note);
-        if (told) {
+        handler.tick();
+        pendingSubmissions--;
+        boolean delivered = response != null && !answered;
+        handler.submissionEnded(this, node, result, delivered, parameterReport);
+        if (delivered) {
             answered = true;
-            asker.committed(answer);
-        } else if (answer != null) {
-            answer.release();
+            receiver.committed(response);
+        } else if (response != null) {
+            response.release();
         }
         handle.submissionEnded(
                 node,
                 result,
-                took,
+                duration,
                 answered,
-                desk.believed(node, note),
-                desk.believed(node, report));
+                handler.trustedReport(node, parameterReport),
+                handler.trustedReport(node, report));
         releaseIfOver();
     }
 
     private void releaseIfOver() {
-        if (handle != null && answered && out == 0 && !over) {
-            over = true;
+        if (handle != null && answered && pendingSubmissions == 0 && !finished) {
+            finished = true;
             message.release();
-            desk.over(this);
+            handler.exchangeFinished(this);
         }
     }
 }
--- a/src/main/java/dillfront/router/exchange/Submitter.java
+++ b/src/main/java/dillfront/router/exchange/Submitter.java
@@ -2,12 +2,12 @@
 
 import java.time.Duration;
 
-/** The server side as the daemon drives it; nothing comes back during a call. */
+/** The node side of the router; no callback occurs during a call. */
 public interface Submitter {
 
-    void submit(Exchange exchange, int node, Duration limit);
+    void submit(Exchange exchange, int node, Duration timeout);
 
-    void release(int node);
+    void closeIdleConnections(int node);
 
     void probe(int node);
 }
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -1,16 +1,16 @@
 package dillfront.router.frontend;
 
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.exchange.Answer;
-import dillfront.router.exchange.Asker;
 import dillfront.router.exchange.Exchange;
+import dillfront.router.exchange.NodeResponse;
+import dillfront.router.exchange.ResponseReceiver;
 import dillfront.router.identity.AccessController;
 import dillfront.router.identity.Refusal;
-import dillfront.router.pgwire.BadFrame;
-import dillfront.router.pgwire.BadStatement;
-import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.FrameDecoder;
+import dillfront.router.pgwire.FrameException;
 import dillfront.router.pgwire.Messages;
 import dillfront.router.pgwire.Statement;
+import dillfront.router.pgwire.StatementFormatException;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -19,269 +19,282 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 
-/** One client: queries taken one after another, each answered before the next is looked at. */
-final class ClientConnection extends TerminalHandler implements Asker {
+/** One client connection: takes one query at a time and answers it before reading the next. */
+final class ClientConnection extends TerminalHandler implements ResponseReceiver {
 
-    private final Clients clients;
-    private final Frames frames = new Frames();
+    private final ClientListener listener;
+    private final FrameDecoder decoder = new FrameDecoder();
     private ChannelHandlerContext ctx;
     private boolean started;
 
     /**
-     * Where callers are asked: the name given, until it is proven; who is in; whether its txn is
-     * out.
+     * Authentication state, if an authenticator is set: the claimed user name until it is verified,
+     * the session, and whether its transaction counts against its share.
      */
-    private String user;
+    private String claimedUser;
 
-    private boolean proving;
+    private boolean awaitingPassword;
     private boolean encrypted;
     private AccessController.Session session;
-    private boolean counted;
+    private boolean countedInShare;
 
-    /** After a message of the extended protocol, until its Sync. */
-    private boolean skipping;
+    /** Set after a message of the extended protocol, until its Sync. */
+    private boolean skippingUntilSync;
 
-    /** The txn that is out; the connection owes its answer. */
+    /** The transaction in flight, whose response is pending. */
     private Exchange exchange;
 
-    private boolean owes;
+    private boolean responsePending;
     private boolean closed;
 
     /**
-     * Since when it could have sent a whole query: since it came, was answered, or began one after
-     * that.
+     * Start of the wait for a complete query: since the connection was accepted, the last response
+     * was sent, or a query began after it.
      */
-    private long since = System.nanoTime();
+    private long waitingSinceNanos = System.nanoTime();
 
-    private boolean served;
+    private boolean hasServedQuery;
 
-    /** Of a message that is not whole, as last told. */
-    private int told;
+    /** Buffered bytes last reported to the listener. */
+    private int reportedBytes;
 
-    /** How long what was read last may have lain in the socket, and when it was read. */
-    private Duration age = Duration.ZERO;
+    /**
+     * Upper bound for how long the last data read was in the socket buffer, and when it was read.
+     */
+    private Duration maxReadAge = Duration.ZERO;
 
     private long readNanos;
 
-    /** In the clients' line, to be looked at in its turn. */
-    boolean inLine;
+    /** Whether this connection is in the listener's queue. */
+    boolean queued;
 
-    ClientConnection(Clients clients) {
-        this.clients = clients;
+    ClientConnection(ClientListener clients) {
+        this.listener = clients;
     }
 
-    /** Nothing of a query is here, and no answer is owed; one may be on its way out. */
-    boolean quiet() {
-        return !owes && frames.waiting() == 0;
+    /**
+     * Returns whether no part of a query is buffered and no response is pending; the last response
+     * may still be unsent.
+     */
+    boolean isBetweenQueries() {
+        return !responsePending && decoder.bufferedBytes() == 0;
     }
 
-    /** And none is on its way out: a close would cut that off. */
-    boolean idle() {
-        return quiet() && flushed();
+    /**
+     * Returns whether the connection is between queries and the last response is sent, so that
+     * closing it loses nothing.
+     */
+    boolean isIdle() {
+        return isBetweenQueries() && isFlushed();
     }
 
-    private boolean flushed() {
+    private boolean isFlushed() {
         ChannelOutboundBuffer out = ctx.channel().unsafe().outboundBuffer();
         return out == null || out.isEmpty();
     }
 
-    boolean owes() {
-        return owes;
+    boolean responsePending() {
+        return responsePending;
     }
 
     long waitedNanos() {
-        return System.nanoTime() - since;
+        return System.nanoTime() - waitingSinceNanos;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
         ctx = context;
-        clients.opened(this);
+        listener.clientConnected(this);
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext context, Object read) {
+    public void channelRead(ChannelHandlerContext context, Object data) {
         if (closed) {
-            ((ByteBuf) read).release();
+            ((ByteBuf) data).release();
             return;
         }
-        if (served && quiet()) {
-            since = System.nanoTime();
+        if (hasServedQuery && isBetweenQueries()) {
+            waitingSinceNanos = System.nanoTime();
         }
-        if (!owes) {
-            age = clients.pace.maxQueryAge(clients.clock.now());
+        if (!responsePending) {
+            maxReadAge = listener.loopLag.maxQueryAge(listener.clock.now());
             readNanos = System.nanoTime();
         }
-        frames.add((ByteBuf) read);
-        clients.line(this);
-        // What is written ahead waits with the client once it is more than one query can be.
-        if (frames.waiting() > Frames.LONGEST && !closed) {
+        decoder.add((ByteBuf) data);
+        listener.queue(this);
+        // Pipelined data stays in the client's socket once more than one maximum query is buffered.
+        if (decoder.bufferedBytes() > FrameDecoder.MAX_CLIENT_MESSAGE_BYTES && !closed) {
             ctx.channel().config().setAutoRead(false);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        clients.line(this);
+        listener.queue(this);
     }
 
-    /** Looks at what was read: its turn has come. */
-    void pump() {
+    /** Processes buffered messages; called in queue order. */
+    void processMessages() {
         if (closed) {
             return;
         }
         try {
-            while (!closed && !owes && ctx.channel().isWritable()) {
-                ByteBuf message = frames.next();
+            while (!closed && !responsePending && ctx.channel().isWritable()) {
+                ByteBuf message = decoder.next();
                 if (message == null) {
                     break;
                 }
                 if (started) {
-                    message(message);
+                    handleMessage(message);
                 } else {
-                    startup(message);
+                    handleStartup(message);
                 }
             }
-        } catch (BadFrame bad) {
-            refuse(Messages.VIOLATION, bad.getMessage());
-        } catch (RuntimeException fault) {
-            // Outside the channel's own events nobody else would tell it: this client alone pays
-            // for the fault.
-            exceptionCaught(ctx, fault);
+        } catch (FrameException e) {
+            reject(Messages.PROTOCOL_VIOLATION, e.getMessage());
+        } catch (RuntimeException e) {
+            // Outside of channel events no handler would report the exception; only this client's
+            // connection is closed.
+            exceptionCaught(ctx, e);
         }
-        waits();
-        if (!closed && frames.waiting() <= Frames.LONGEST && !ctx.channel().config().isAutoRead()) {
+        reportBufferedBytes();
+        if (!closed
+                && decoder.bufferedBytes() <= FrameDecoder.MAX_CLIENT_MESSAGE_BYTES
+                && !ctx.channel().config().isAutoRead()) {
             ctx.channel().config().setAutoRead(true);
         }
     }
 
-    private void waits() {
-        int before = told;
-        told = frames.waiting();
-        clients.waits(told - before);
+    private void reportBufferedBytes() {
+        int previous = reportedBytes;
+        reportedBytes = decoder.bufferedBytes();
+        listener.bufferedBytesChanged(reportedBytes - previous);
     }
 
-    private void startup(ByteBuf message) {
+    private void handleStartup(ByteBuf message) {
         int code = message.getInt(message.readerIndex() + 4);
         String name =
-                code == Messages.VERSION && clients.callers != null ? Messages.user(message) : null;
+                code == Messages.PROTOCOL_VERSION && listener.authenticator != null
+                        ? Messages.user(message)
+                        : null;
         message.release();
         switch (code) {
-            case Messages.SSL -> encrypt();
-            case Messages.GSS -> ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte('N'));
-            case Messages.CANCEL -> close();
-            case Messages.VERSION -> {
+            case Messages.SSL_REQUEST -> handleTlsRequest();
+            case Messages.GSSENC_REQUEST -> ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte('N'));
+            case Messages.CANCEL_REQUEST -> close();
+            case Messages.PROTOCOL_VERSION -> {
                 started = true;
-                frames.typed();
-                if (clients.callers != null) {
-                    prove(name);
+                decoder.startupReceived();
+                if (listener.authenticator != null) {
+                    requestPassword(name);
                 } else {
-                    ctx.writeAndFlush(Messages.welcome(ctx.alloc().buffer(192)));
+                    ctx.writeAndFlush(Messages.sessionStart(ctx.alloc().buffer(192)));
                 }
             }
-            default -> refuse("0A000", "protocol version " + (code >>> 16) + "." + (code & 0xffff));
+            default -> reject("0A000", "protocol version " + (code >>> 16) + "." + (code & 0xffff));
         }
     }
 
     /**
-     * The one byte in the clear that says whether TLS begins; what came with the question would
-     * pass for a part of it.
+     * Answers a TLS request with one unencrypted byte. Data sent along with the request is refused,
+     * since it would otherwise pass for part of the encrypted stream.
      */
-    private void encrypt() {
-        ChannelHandler tls = clients.callers == null || encrypted ? null : clients.callers.tls();
-        if (tls != null && frames.waiting() > 0) {
-            refuse(Messages.VIOLATION, "bytes behind the request for TLS");
+    private void handleTlsRequest() {
+        ChannelHandler tlsHandler =
+                listener.authenticator == null || encrypted
+                        ? null
+                        : listener.authenticator.tlsHandler();
+        if (tlsHandler != null && decoder.bufferedBytes() > 0) {
+            reject(Messages.PROTOCOL_VIOLATION, "data after the SSLRequest message");
             return;
         }
-        ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte(tls == null ? 'N' : 'S'));
-        if (tls != null) {
+        ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte(tlsHandler == null ? 'N' : 'S'));
+        if (tlsHandler != null) {
             encrypted = true;
-            ctx.pipeline().addFirst(tls);
+            ctx.pipeline().addFirst(tlsHandler);
         }
     }
 
     /**
-     * Asks for the token, as a password (AuthenticationCleartextPassword), over TLS alone where
-     * there is TLS.
+     * Requests the token as a password (AuthenticationCleartextPassword); only over TLS if TLS is
+     * configured.
      */
-    private void prove(String name) {
-        if (clients.callers.tlsAlone() && !encrypted) {
-            refuse(Refusal.UNKNOWN.sqlState(), "only over TLS");
+    private void requestPassword(String name) {
+        if (listener.authenticator.requiresTls() && !encrypted) {
+            reject(Refusal.UNKNOWN.sqlState(), "TLS is required");
             return;
         }
-        Duration wait = clients.callers.wait(address(), name);
-        if (!wait.isZero()) {
-            refuse(
+        Duration delay = listener.authenticator.retryDelay(address(), name);
+        if (!delay.isZero()) {
+            reject(
                     Refusal.PENALTY.sqlState(),
-                    "failed too often, to be tried again in "
-                            + Math.max(1, wait.toMillis())
-                            + " ms");
+                    "too many failed logins; retry in " + Math.max(1, delay.toMillis()) + " ms");
             return;
         }
-        user = name;
-        proving = true;
+        claimedUser = name;
+        awaitingPassword = true;
         ctx.writeAndFlush(ctx.alloc().buffer(9).writeByte('R').writeInt(8).writeInt(3));
     }
 
     private String address() {
-        return ctx.channel().remoteAddress() instanceof InetSocketAddress at
-                ? at.getAddress().getHostAddress()
+        return ctx.channel().remoteAddress() instanceof InetSocketAddress socketAddress
+                ? socketAddress.getAddress().getHostAddress()
                 : "";
     }
 
-    private void proof(ByteBuf message) {
-        if ((char) message.getByte(message.readerIndex()) != 'p' || !proving) {
+    private void handlePassword(ByteBuf message) {
+        if ((char) message.getByte(message.readerIndex()) != 'p' || !awaitingPassword) {
             message.release();
-            refuse(Messages.VIOLATION, "expected a password message");
+            reject(Messages.PROTOCOL_VIOLATION, "expected a password message");
             return;
         }
-        proving = false;
+        awaitingPassword = false;
         String token = Messages.password(message);
         message.release();
-        // Nothing else is looked at until it is known who this is.
-        owes = true;
-        clients.callers.enter(
+        // Nothing else is processed until the client is authenticated.
+        responsePending = true;
+        listener.authenticator.authenticate(
                 address(),
-                user,
+                claimedUser,
                 token,
-                new Callers.Entry() {
+                new ClientAuthenticator.LoginCallback() {
                     @Override
-                    public void entered(AccessController.Session in) {
+                    public void accepted(AccessController.Session newSession) {
                         if (closed) {
-                            in.close();
+                            newSession.close();
                             return;
                         }
-                        session = in;
-                        owes = false;
-                        // Who has proven himself is no stranger.
-                        clients.taken(ClientConnection.this);
-                        since = System.nanoTime();
-                        ctx.writeAndFlush(Messages.welcome(ctx.alloc().buffer(192)));
-                        if (frames.waiting() > 0) {
-                            clients.line(ClientConnection.this);
+                        session = newSession;
+                        responsePending = false;
+                        // An authenticated client no longer counts as a new client.
+                        listener.queryAccepted(ClientConnection.this);
+                        waitingSinceNanos = System.nanoTime();
+                        ctx.writeAndFlush(Messages.sessionStart(ctx.alloc().buffer(192)));
+                        if (decoder.bufferedBytes() > 0) {
+                            listener.queue(ClientConnection.this);
                         }
                     }
 
                     @Override
-                    public void refused(Refusal why, String text) {
+                    public void rejected(Refusal refusal, String text) {
                         if (!closed) {
-                            owes = false;
-                            // Why in full stands in the log alone.
-                            refuse(why.sqlState(), "not let in: " + why.label());
+                            responsePending = false;
+                            // The full reason is only logged.
+                            reject(refusal.sqlState(), "authentication failed: " + refusal.label());
                         }
                     }
                 });
     }
 
-    /** Takes one message over. */
-    private void message(ByteBuf message) {
+    /** Takes ownership of one message and handles it. */
+    private void handleMessage(ByteBuf message) {
         char type = (char) message.getByte(message.readerIndex());
-        if (clients.callers != null && session == null) {
-            proof(message);
+        if (listener.authenticator != null && session == null) {
+            handlePassword(message);
             return;
         }
-        if (type == 'Q' && !skipping) {
-            query(message);
+        if (type == 'Q' && !skippingUntilSync) {
+            handleQuery(message);
             return;
         }
         message.release();
@@ -289,222 +302,232 @@
             case 'Q', 'H' -> {}
             case 'X' -> close();
             case 'S' -> {
-                skipping = false;
+                skippingUntilSync = false;
                 ctx.writeAndFlush(Messages.ready());
             }
             case 'P', 'B', 'D', 'E', 'C' -> {
-                if (!skipping) {
-                    skipping = true;
+                if (!skippingUntilSync) {
+                    skippingUntilSync = true;
                     ctx.writeAndFlush(
                             Messages.error(
                                     ctx.alloc().buffer(128),
                                     false,
-                                    Messages.NOT_SUPPORTED,
+                                    Messages.FEATURE_NOT_SUPPORTED,
                                     "only simple queries are served here",
                                     null));
                 }
             }
             case 'F' -> {
-                if (!skipping) {
-                    error(Messages.NOT_SUPPORTED, "no functions are served here", null);
+                if (!skippingUntilSync) {
+                    sendError(
+                            Messages.FEATURE_NOT_SUPPORTED,
+                            "function calls are not supported",
+                            null);
                 }
             }
-            default -> refuse(Messages.VIOLATION, "unknown message");
+            default -> reject(Messages.PROTOCOL_VIOLATION, "unknown message");
         }
     }
 
-    private void query(ByteBuf message) {
-        clients.counters.queries++;
-        if (Messages.empty(message)) {
+    private void handleQuery(ByteBuf message) {
+        listener.counters.queries++;
+        if (Messages.isBlankQuery(message)) {
             message.release();
-            known();
+            markServed();
             ctx.writeAndFlush(Messages.emptyQuery(ctx.alloc().buffer(11)));
             return;
         }
-        if (clients.leaving()) {
-            // It came when this router had said goodbye: no longer than what is out may it go on.
-            // Never sent, so harmless.
+        if (listener.shuttingDown()) {
+            // The query arrived after the shutdown began and was never sent, so a retry is
+            // harmless. The connection stays open no longer than its pending response.
             message.release();
-            clients.counters.declinedWhileStopping++;
-            error(Messages.DECLINED, "this router ends, trying again is harmless", null);
-            clients.free(this);
+            listener.counters.declinedWhileStopping++;
+            sendError(Messages.DECLINED, "router is shutting down; retrying is safe", null);
+            listener.queryAnswered(this);
             return;
         }
-        // From its last byte, or since nothing went before it on this connection.
-        Duration waited = age.plusNanos(System.nanoTime() - readNanos);
+        // Time since the last byte was received; data pipelined behind an earlier query counts from
+        // that query's response.
+        Duration timeSinceReceived = maxReadAge.plusNanos(System.nanoTime() - readNanos);
         Statement statement;
         try {
             statement = Statement.read(message);
-        } catch (BadStatement bad) {
+        } catch (StatementFormatException e) {
             message.release();
-            clients.counters.malformedQueries++;
-            clients.log.warn("query-out-of-form", "fault", bad.getMessage());
-            error(Messages.OUT_OF_FORM, bad.getMessage(), null);
+            listener.counters.malformedQueries++;
+            listener.log.warn("query-out-of-form", "fault", e.getMessage());
+            sendError(Messages.SYNTAX_ERROR, e.getMessage(), null);
             return;
         }
-        if (session != null && !mayTake(statement, message)) {
+        if (session != null && !isAuthorized(statement, message)) {
             return;
         }
-        owes = true;
-        Exchange taken =
-                clients.desk.take(
-                        statement, message, this, waited, session == null ? -1 : session.tenant());
-        if (taken == null) {
-            owes = false;
-            uncount();
+        responsePending = true;
+        Exchange newExchange =
+                listener.exchangeHandler.begin(
+                        statement,
+                        message,
+                        this,
+                        timeSinceReceived,
+                        session == null ? -1 : session.tenant());
+        if (newExchange == null) {
+            responsePending = false;
+            releaseShare();
             message.release();
-            clients.counters.malformedQueries++;
-            clients.log.warn("query-unknown", "type", statement.type, "group", statement.group);
-            error(Messages.OUT_OF_FORM, "unknown type or group, or an id that is open", null);
+            listener.counters.malformedQueries++;
+            listener.log.warn("query-unknown", "type", statement.type, "group", statement.group);
+            sendError(Messages.SYNTAX_ERROR, "unknown type or group, or an id that is open", null);
         } else {
-            known();
-            exchange = owes ? taken : null;
+            markServed();
+            exchange = responsePending ? newExchange : null;
         }
     }
 
     /**
-     * Whether this session may have this txn begun; if not, it has been told, and the message is
-     * gone.
+     * Checks whether the session may run this transaction; if not, sends the error and releases the
+     * message.
      */
-    private boolean mayTake(Statement statement, ByteBuf message) {
-        clients.callers.tick();
-        int type = clients.desk.type(statement.type);
-        Refusal no = session.admit(type, statement.write, statement.group, statement);
-        if (no == null) {
-            counted = true;
+    private boolean isAuthorized(Statement statement, ByteBuf message) {
+        listener.authenticator.tick();
+        int type = listener.exchangeHandler.typeIndex(statement.type);
+        Refusal refusal = session.admit(type, statement.write, statement.group, statement);
+        if (refusal == null) {
+            countedInShare = true;
             return true;
         }
-        String cause =
-                no == Refusal.NO_RIGHT
+        String rule =
+                refusal == Refusal.NO_RIGHT
                         ? session.decidingRule(type, statement.write, statement.group, statement)
                         : "-";
-        clients.callers.denied(
-                session, no, statement.type, statement.write, statement.group, cause);
+        listener.authenticator.transactionDenied(
+                session, refusal, statement.type, statement.write, statement.group, rule);
         message.release();
-        if (no.endsSession()) {
-            dismiss(no);
+        if (refusal.endsSession()) {
+            endSession(refusal);
         } else {
-            Duration pause = no == Refusal.BUSY ? session.retryDelay() : Duration.ZERO;
-            error(
-                    no.sqlState(),
-                    no == Refusal.BUSY ? "beyond this user's share" : "no right to this",
-                    pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
+            Duration retryAfter = refusal == Refusal.BUSY ? session.retryDelay() : Duration.ZERO;
+            sendError(
+                    refusal.sqlState(),
+                    refusal == Refusal.BUSY
+                            ? "the user's transaction share is exhausted"
+                            : "permission denied",
+                    retryAfter.isZero() ? null : Long.toString(Math.max(1, retryAfter.toMillis())));
         }
         return false;
     }
 
-    /** Has it end, where it is idle and no longer let in. */
-    void lookAgain() {
-        if (session != null && !closed && idle() && session.refusal() != null) {
-            dismiss(session.refusal());
+    /** Closes the connection if it is idle and its session is no longer valid. */
+    void revalidateSession() {
+        if (session != null && !closed && isIdle() && session.refusal() != null) {
+            endSession(session.refusal());
         }
     }
 
-    private void dismiss(Refusal why) {
-        refuse(why.sqlState(), "no longer let in: " + why.label());
+    private void endSession(Refusal refusal) {
+        reject(refusal.sqlState(), "session ended: " + refusal.label());
     }
 
-    /** Its txn is over, for its share. */
-    private void uncount() {
-        if (counted) {
-            counted = false;
+    /** Releases the transaction from its user's share. */
+    private void releaseShare() {
+        if (countedInShare) {
+            countedInShare = false;
             session.release();
         }
     }
 
-    private void known() {
-        served = true;
-        since = System.nanoTime();
-        clients.taken(this);
+    private void markServed() {
+        hasServedQuery = true;
+        waitingSinceNanos = System.nanoTime();
+        listener.queryAccepted(this);
     }
 
-    private void error(String code, String text, String detail) {
+    private void sendError(String code, String text, String detail) {
         ByteBuf out = ctx.alloc().buffer(160);
         ctx.writeAndFlush(Messages.ready(Messages.error(out, false, code, text, detail)));
     }
 
     @Override
-    public void committed(Answer answer) {
-        clients.counters.committed++;
-        ByteBuf all = answer.joined();
-        if (all != null) {
-            ctx.write(all, ctx.voidPromise());
+    public void committed(NodeResponse response) {
+        listener.counters.committed++;
+        ByteBuf joined = response.joinedSlice();
+        if (joined != null) {
+            ctx.write(joined, ctx.voidPromise());
         } else {
-            ctx.write(answer.description(), ctx.voidPromise());
-            ctx.write(answer.row(), ctx.voidPromise());
-            ctx.write(answer.completion(), ctx.voidPromise());
+            ctx.write(response.description(), ctx.voidPromise());
+            ctx.write(response.row(), ctx.voidPromise());
+            ctx.write(response.completion(), ctx.voidPromise());
         }
         ctx.writeAndFlush(Messages.ready(), ctx.voidPromise());
-        answered();
+        responseSent();
     }
 
     @Override
-    public void declined(Duration pause) {
-        clients.counters.declined++;
-        error(
+    public void declined(Duration retryAfter) {
+        listener.counters.declined++;
+        sendError(
                 Messages.DECLINED,
                 "declined, trying again is harmless",
-                pause.isZero() ? null : Long.toString(Math.max(1, pause.toMillis())));
-        answered();
+                retryAfter.isZero() ? null : Long.toString(Math.max(1, retryAfter.toMillis())));
+        responseSent();
     }
 
     @Override
     public void rolledBack() {
-        clients.counters.rolledBack++;
-        error(Messages.ROLLED_BACK, "rolled back, whether it has run is not known", null);
-        answered();
+        listener.counters.rolledBack++;
+        sendError(Messages.ROLLED_BACK, "rolled back, whether it has run is not known", null);
+        responseSent();
     }
 
-    /** What comes next is looked at once the module has returned. */
-    private void answered() {
-        uncount();
+    /** Later messages are processed after the routing engine's call has returned. */
+    private void responseSent() {
+        releaseShare();
         exchange = null;
-        owes = false;
-        since = System.nanoTime();
-        age = Duration.ZERO;
-        readNanos = since;
-        clients.free(this);
-        if (frames.waiting() > 0) {
-            clients.line(this);
+        responsePending = false;
+        waitingSinceNanos = System.nanoTime();
+        maxReadAge = Duration.ZERO;
+        readNanos = waitingSinceNanos;
+        listener.queryAnswered(this);
+        if (decoder.bufferedBytes() > 0) {
+            listener.queue(this);
         }
     }
 
-    private void refuse(String code, String text) {
-        clients.log.warn("client-refused", "fault", text);
+    private void reject(String code, String text) {
+        listener.log.warn("client-refused", "fault", text);
         closed = true;
-        frames.release();
-        waits();
-        // Its last words are sent before the end, and what still comes is let go: a close would cut
-        // them off.
+        decoder.release();
+        reportBufferedBytes();
+        // The error is flushed before the close, and further input is read and discarded: an
+        // immediate close could reset the connection before the client has read the error.
         ctx.writeAndFlush(Messages.error(ctx.alloc().buffer(128), true, code, text, null))
-                .addListener(sent -> clients.closeSoon(this, ctx));
+                .addListener(sent -> listener.closeAfterDelay(this, ctx));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         closed = true;
-        frames.release();
-        waits();
-        clients.closed(this);
-        owes = false;
-        uncount();
+        decoder.release();
+        reportBufferedBytes();
+        listener.clientDisconnected(this);
+        responsePending = false;
+        releaseShare();
         if (session != null) {
             session.close();
             session = null;
         }
         if (exchange != null) {
-            clients.counters.abandonedByClient++;
-            Exchange out = exchange;
+            listener.counters.abandonedByClient++;
+            Exchange abandoned = exchange;
             exchange = null;
-            out.left();
+            abandoned.clientDisconnected();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // What is no TLS, where TLS was asked for, is the client's fault.
+        // Invalid TLS data is the client's fault and is not logged.
         if (!(cause instanceof IOException) && !(cause.getCause() instanceof IOException)) {
-            clients.log.warn("client-connection", "fault", cause);
+            listener.log.warn("client-connection", "fault", cause);
         }
         context.close();
     }
--- a/src/main/java/dillfront/router/pgwire/Messages.java
+++ b/src/main/java/dillfront/router/pgwire/Messages.java
@@ -5,28 +5,26 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** Writes messages, and reads the small ones. */
+/** Encodes protocol messages and decodes the small ones. */
 public final class Messages {
 
-    /**
-     * The first number of a client's startup: version 3.0, and the requests that come in its place.
-     */
-    public static final int VERSION = 196608;
+    /** Code in a client's startup message: version 3.0, or a special request in its place. */
+    public static final int PROTOCOL_VERSION = 196608;
 
-    public static final int CANCEL = 80877102;
-    public static final int SSL = 80877103;
-    public static final int GSS = 80877104;
+    public static final int CANCEL_REQUEST = 80877102;
+    public static final int SSL_REQUEST = 80877103;
+    public static final int GSSENC_REQUEST = 80877104;
 
     public static final String DECLINED = "53300";
     public static final String ROLLED_BACK = "40003";
-    public static final String OUT_OF_FORM = "42601";
-    public static final String NOT_SUPPORTED = "0A000";
-    public static final String VIOLATION = "08P01";
+    public static final String SYNTAX_ERROR = "42601";
+    public static final String FEATURE_NOT_SUPPORTED = "0A000";
+    public static final String PROTOCOL_VIOLATION = "08P01";
 
     private Messages() {}
 
-    /** What a client is told once it has started. */
-    public static ByteBuf welcome(ByteBuf out) {
+    /** Writes the messages that complete a client's startup. */
+    public static ByteBuf sessionStart(ByteBuf out) {
         out.writeByte('R').writeInt(8).writeInt(0);
         parameter(out, "server_version", "15.0");
         parameter(out, "server_encoding", "UTF8");
@@ -49,7 +47,7 @@
     private static final ByteBuf READY =
             Unpooled.unreleasableBuffer(ready(Unpooled.directBuffer(6, 6)));
 
-    /** One that stands ready, for the ordinary path. */
+    /** Returns a preallocated ReadyForQuery message. */
     public static ByteBuf ready() {
         return READY.duplicate();
     }
@@ -59,7 +57,7 @@
     }
 
     /**
-     * @param detail null where there is none
+     * @param detail null if there is none
      */
     public static ByteBuf error(
             ByteBuf out, boolean fatal, String code, String message, String detail) {
@@ -87,10 +85,10 @@
         out.writeByte(0);
     }
 
-    /** Appends a StartupMessage of version 3.0. */
+    /** Writes a StartupMessage of version 3.0. */
     public static ByteBuf startup(ByteBuf out, String user, String database) {
         int start = out.writerIndex();
-        out.writeInt(0).writeInt(VERSION);
+        out.writeInt(0).writeInt(PROTOCOL_VERSION);
         text(out, "user");
         text(out, user);
         text(out, "database");
@@ -105,64 +103,67 @@
         return out;
     }
 
-    /** The user that a startup message names; empty where it names none. */
+    /** Returns the user named by a startup message; empty if it names none. */
     public static String user(ByteBuf message) {
-        int at = message.readerIndex() + 8;
+        int offset = message.readerIndex() + 8;
         int end = message.writerIndex();
-        while (at < end && message.getByte(at) != 0) {
-            int nameTo = zero(message, at, end);
-            int valueTo = zero(message, Math.min(end, nameTo + 1), end);
-            if (nameTo - at == 4
-                    && message.toString(at, 4, StandardCharsets.US_ASCII).equals("user")) {
+        while (offset < end && message.getByte(offset) != 0) {
+            int nameTo = indexOfZero(message, offset, end);
+            int valueTo = indexOfZero(message, Math.min(end, nameTo + 1), end);
+            if (nameTo - offset == 4
+                    && message.toString(offset, 4, StandardCharsets.US_ASCII).equals("user")) {
                 return message.toString(
                         nameTo + 1,
                         Math.max(0, Math.min(valueTo - nameTo - 1, 256)),
                         StandardCharsets.UTF_8);
             }
-            at = valueTo + 1;
+            offset = valueTo + 1;
         }
         return "";
     }
 
-    private static int zero(ByteBuf message, int from, int end) {
-        int at = from;
-        while (at < end && message.getByte(at) != 0) {
-            at++;
+    private static int indexOfZero(ByteBuf message, int from, int end) {
+        int offset = from;
+        while (offset < end && message.getByte(offset) != 0) {
+            offset++;
         }
-        return at;
+        return offset;
     }
 
-    /** What a password message says. */
+    /** Returns the password of a password message. */
     public static String password(ByteBuf message) {
         int from = message.readerIndex() + 5;
         return message.toString(
-                from, zero(message, from, message.writerIndex()) - from, StandardCharsets.UTF_8);
+                from,
+                indexOfZero(message, from, message.writerIndex()) - from,
+                StandardCharsets.UTF_8);
     }
 
-    /** The code of an error message; empty where it holds none. */
-    public static String code(ByteBuf message) {
-        int at = message.readerIndex() + 5;
-        while (at < message.writerIndex() && message.getByte(at) != 0) {
-            int zero = message.indexOf(at, message.writerIndex(), (byte) 0);
-            if (zero < 0) {
+    /** Returns the SQLSTATE of an error message; empty if there is none. */
+    public static String sqlState(ByteBuf message) {
+        int offset = message.readerIndex() + 5;
+        while (offset < message.writerIndex() && message.getByte(offset) != 0) {
+            int terminator = message.indexOf(offset, message.writerIndex(), (byte) 0);
+            if (terminator < 0) {
                 return "";
             }
-            if (message.getByte(at) == 'C') {
-                return message.toString(at + 1, zero - at - 1, StandardCharsets.US_ASCII);
+            if (message.getByte(offset) == 'C') {
+                return message.toString(
+                        offset + 1, terminator - offset - 1, StandardCharsets.US_ASCII);
             }
-            at = zero + 1;
+            offset = terminator + 1;
         }
         return "";
     }
 
     /**
-     * Where the value of a parameter message of this name begins; negative where it has another
-     * name, or no form.
+     * Returns the offset of the value in a ParameterStatus message of this name; negative if the
+     * name differs or the message is malformed.
      */
-    public static int valueOf(ByteBuf message, byte[] name) {
+    public static int parameterValueOffset(ByteBuf message, byte[] name) {
         int from = message.readerIndex() + 5;
         int value = from + name.length + 1;
-        return is(message, from, name)
+        return matchesAt(message, from, name)
                         && value < message.writerIndex()
                         && message.getByte(value - 1) == 0
                         && message.getByte(message.writerIndex() - 1) == 0
@@ -170,59 +171,62 @@
                 : -1;
     }
 
-    /** Whether these bytes stand there. */
-    public static boolean is(ByteBuf message, int at, byte[] bytes) {
-        if (at + bytes.length > message.writerIndex()) {
+    /** Returns whether the message contains these bytes at the offset. */
+    public static boolean matchesAt(ByteBuf message, int offset, byte[] bytes) {
+        if (offset + bytes.length > message.writerIndex()) {
             return false;
         }
         for (int i = 0; i < bytes.length; i++) {
-            if (message.getByte(at + i) != bytes[i]) {
+            if (message.getByte(offset + i) != bytes[i]) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Text from there up to the closing zero. */
-    public static String text(ByteBuf message, int at) {
-        return message.toString(at, message.writerIndex() - 1 - at, StandardCharsets.UTF_8);
+    /** Returns the text from the offset to the terminating zero at the end of the message. */
+    public static String text(ByteBuf message, int offset) {
+        return message.toString(offset, message.writerIndex() - 1 - offset, StandardCharsets.UTF_8);
     }
 
-    /** The one column of a row as text; null where there is not just one, or it is null. */
+    /**
+     * Returns the only column of a row as text; null if there is more than one column or its value
+     * is null.
+     */
     public static String column(ByteBuf row) {
-        int at = row.readerIndex() + 5;
-        if (!oneColumn(row)) {
+        int offset = row.readerIndex() + 5;
+        if (!hasOneColumn(row)) {
             return null;
         }
-        return row.toString(at + 6, row.getInt(at + 2), StandardCharsets.UTF_8);
+        return row.toString(offset + 6, row.getInt(offset + 2), StandardCharsets.UTF_8);
     }
 
-    /** Whether a description is of one column, and nothing else. */
-    public static boolean oneField(ByteBuf description) {
-        int at = description.readerIndex() + 5;
-        int zero =
-                description.readableBytes() < 7 || description.getShort(at) != 1
+    /** Returns whether a row description consists of exactly one field. */
+    public static boolean hasOneField(ByteBuf description) {
+        int offset = description.readerIndex() + 5;
+        int terminator =
+                description.readableBytes() < 7 || description.getShort(offset) != 1
                         ? -1
-                        : description.indexOf(at + 2, description.writerIndex(), (byte) 0);
-        return zero >= 0 && description.writerIndex() - zero == 19;
+                        : description.indexOf(offset + 2, description.writerIndex(), (byte) 0);
+        return terminator >= 0 && description.writerIndex() - terminator == 19;
     }
 
-    /** Whether a message holds one text up to its end. */
-    public static boolean oneText(ByteBuf message) {
+    /** Returns whether a message consists of one zero-terminated string. */
+    public static boolean hasOneString(ByteBuf message) {
         int from = message.readerIndex() + 5;
         return message.indexOf(from, message.writerIndex(), (byte) 0) == message.writerIndex() - 1;
     }
 
-    /** Whether a row holds one column that fills it. */
-    public static boolean oneColumn(ByteBuf row) {
-        int at = row.readerIndex() + 5;
+    /** Returns whether a row consists of exactly one column. */
+    public static boolean hasOneColumn(ByteBuf row) {
+        int offset = row.readerIndex() + 5;
         return row.readableBytes() >= 11
-                && row.getShort(at) == 1
-                && row.getInt(at + 2) == row.readableBytes() - 11;
+                && row.getShort(offset) == 1
+                && row.getInt(offset + 2) == row.readableBytes() - 11;
     }
 
-    /** Whether a query holds nothing: white space and semicolons. */
-    public static boolean empty(ByteBuf query) {
+    /** Returns whether a query is empty: only whitespace and semicolons. */
+    public static boolean isBlankQuery(ByteBuf query) {
         for (int i = query.readerIndex() + 5; i < query.writerIndex(); i++) {
             byte c = query.getByte(i);
             if (c != 0 && c != ' ' && c != ';' && c != '\n' && c != '\t' && c != '\r') {
--- a/src/main/java/dillfront/simulation/PowerMeasure.java
+++ b/src/main/java/dillfront/simulation/PowerMeasure.java
@@ -206,7 +206,7 @@
         try {
             RouterStateStore store = RouterStateStore.open(folder, "r0", log, Runnable::run);
             for (int i = 0; i < closings; i++) {
-                store.closed("s-" + i, MemberState.DRAINING, i, i);
+                store.nodeClosed("s-" + i, MemberState.DRAINING, i, i);
             }
             CountDownLatch persisted = new CountDownLatch(1);
             store.whenKept(success -> persisted.countDown());
--- a/src/main/java/dillfront/simulation/RouterModelChecker.java
+++ b/src/main/java/dillfront/simulation/RouterModelChecker.java
@@ -1,6 +1,6 @@
 package dillfront.simulation;
 
-import dillfront.router.discovery.Closings;
+import dillfront.router.discovery.ClosedNodes;
 import dillfront.router.recovery.InDoubtKeys;
 import dillfront.routing.RoutingEngine;
 import dillfront.routing.api.Consistency;
@@ -26,11 +26,11 @@
 
 /**
  * Checks exhaustively a model small enough for all its states: two routers that decide by {@link
- * RoutingEngine}, {@link InDoubtKeys} and {@link Closings} themselves, three nodes of one group and
- * two keys. The events are requests, sends, answers, lost connections, server lists, a drain, disk
- * syncs, a router crash, a power loss of all machines, and the passage of time, in every order up
- * to a depth. Each state is reached by replay from the initial state, so no state of the routers is
- * copied. Two orders lead to the same state if each router received the same inputs at the same
+ * RoutingEngine}, {@link InDoubtKeys} and {@link ClosedNodes} themselves, three nodes of one group
+ * and two keys. The events are requests, sends, answers, lost connections, server lists, a drain,
+ * disk syncs, a router crash, a power loss of all machines, and the passage of time, in every order
+ * up to a depth. Each state is reached by replay from the initial state, so no state of the routers
+ * is copied. Two orders lead to the same state if each router received the same inputs at the same
  * times and the rest of the model is equal.
  *
  * <p>Invariants: a key takes effect once; a declined transaction never runs; each request of a
@@ -476,7 +476,7 @@
 
     /** One incarnation of a router: the routing engine and the state between it and the model. */
     private static final class RouterIncarnation
-            implements RoutingActions, InDoubtKeys.KeyStore, Closings.Keeper {
+            implements RoutingActions, InDoubtKeys.KeyStore, ClosedNodes.Listener {
         final Model model;
         final int index;
         final List<Request> requests = new ArrayList<>();
@@ -491,7 +491,7 @@
         final Duration startedAt;
         final RoutingEngine routingEngine;
         final InDoubtKeys inDoubtKeys;
-        final Closings closings = new Closings();
+        final ClosedNodes closings = new ClosedNodes();
         final Set<Integer> peerInDoubtKeys = new TreeSet<>();
 
         /** In-doubt keys that other routers reported to this incarnation. */
@@ -566,7 +566,7 @@
          * older than all drains.
          */
         void start() {
-            closings.keeper(this);
+            closings.listener(this);
             if (model.fault != InjectedFault.FORGETS_DRAINS) {
                 model.persistedDrains
                         .get(index)
@@ -595,7 +595,7 @@
             for (int node = 0; node < NODES; node++) {
                 MemberState listedState =
                         version > 1 && node == 2 ? MemberState.DRAINING : MemberState.READY;
-                MemberState effectiveState = closings.heard("n" + node, listedState, 0, version);
+                MemberState effectiveState = closings.update("n" + node, listedState, 0, version);
                 rows.add(new NodeRow(node, 0, 0, 1, node == 0, null, effectiveState));
             }
             routingEngine.setTime(model.now);
@@ -868,11 +868,11 @@
         }
 
         @Override
-        public void closed(String id, MemberState standing, long startedMs, long version) {
+        public void nodeClosed(String id, MemberState standing, long startedMs, long version) {
             unsynced.add(id);
         }
 
         @Override
-        public void opened(String id) {}
+        public void nodeOpened(String id) {}
     }
 }
--- a/src/main/java/dillfront/simulation/processes/QueryClient.java
+++ b/src/main/java/dillfront/simulation/processes/QueryClient.java
@@ -2,8 +2,8 @@
 
 import dillfront.common.network.Sockets;
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.pgwire.BadFrame;
-import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.FrameDecoder;
+import dillfront.router.pgwire.FrameException;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -112,7 +112,7 @@
     /** Handles one connection to the router. */
     private final class ClientConnection extends TerminalHandler {
 
-        private final Frames frames = new Frames(1 << 22);
+        private final FrameDecoder frames = new FrameDecoder(1 << 22);
         private ChannelHandlerContext ctx;
         private boolean handshakeDone;
         private boolean connected;
@@ -161,7 +161,7 @@
                     handleMessage(message);
                     message.release();
                 }
-            } catch (BadFrame e) {
+            } catch (FrameException e) {
                 context.close();
             }
         }
@@ -179,7 +179,7 @@
                 }
                 case 'C' -> outcome = "committed";
                 case 'E' -> {
-                    String code = Messages.code(message);
+                    String code = Messages.sqlState(message);
                     outcome =
                             code.equals("53300") || code.equals("57P03")
                                     ? "declined"
--- a/src/main/java/dillfront/simulation/processes/SimulatedNode.java
+++ b/src/main/java/dillfront/simulation/processes/SimulatedNode.java
@@ -1,8 +1,8 @@
 package dillfront.simulation.processes;
 
 import dillfront.common.network.TerminalHandler;
-import dillfront.router.pgwire.BadFrame;
-import dillfront.router.pgwire.Frames;
+import dillfront.router.pgwire.FrameDecoder;
+import dillfront.router.pgwire.FrameException;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -332,7 +332,7 @@
     /** Handles one connection. The node answers one statement at a time, as routers send them. */
     private final class RouterConnection extends TerminalHandler {
 
-        private final Frames frames = new Frames();
+        private final FrameDecoder frames = new FrameDecoder();
         private ChannelHandlerContext ctx;
         private boolean started;
 
@@ -349,7 +349,7 @@
                 for (ByteBuf message = frames.next(); message != null; message = frames.next()) {
                     handleMessage(message);
                 }
-            } catch (BadFrame e) {
+            } catch (FrameException e) {
                 context.close();
             }
         }
@@ -363,7 +363,7 @@
             message.release();
             if (!started) {
                 started = true;
-                frames.typed();
+                frames.startupReceived();
                 if (behavior != Behavior.HANGING) {
                     ctx.writeAndFlush(
                             Messages.ready(
--- a/src/test/java/dillfront/benchmark/IdentityTest.java
+++ b/src/test/java/dillfront/benchmark/IdentityTest.java
@@ -14,8 +14,8 @@
 import com.nimbusds.jwt.JWTClaimsSet;
 import com.nimbusds.jwt.SignedJWT;
 import dillfront.common.logging.Log;
-import dillfront.router.Daemon;
-import dillfront.router.config.Config;
+import dillfront.router.RouterServer;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.operator.OperatorConfig;
 import dillfront.router.pgwire.Messages;
 import io.netty.buffer.ByteBuf;
@@ -58,7 +58,7 @@
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final List<Socket> openSockets = new ArrayList<>();
     private StubBackends backends;
-    private Daemon daemon;
+    private RouterServer daemon;
     private int port;
     private SSLContext clientContext;
     private ECKey firstKey;
@@ -96,8 +96,8 @@
         backends = new StubBackends(250_000);
         port = RouterProcess.freePort();
         daemon =
-                new Daemon(
-                        Config.read(
+                new RouterServer(
+                        RouterConfig.read(
                                 new ByteArrayInputStream(
                                         backends.config(port, 1.0)
                                                 .getBytes(StandardCharsets.UTF_8))),
@@ -213,7 +213,7 @@
     }
 
     private static ByteBuf sslRequest() {
-        return Unpooled.buffer().writeInt(8).writeInt(Messages.SSL);
+        return Unpooled.buffer().writeInt(8).writeInt(Messages.SSL_REQUEST);
     }
 
     private static void write(Socket socket, ByteBuf bytes) throws IOException {
--- a/src/test/java/dillfront/benchmark/RouterGossipTest.java
+++ b/src/test/java/dillfront/benchmark/RouterGossipTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.logging.Log;
-import dillfront.router.Daemon;
-import dillfront.router.config.Config;
+import dillfront.router.RouterServer;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.operator.OperatorConfig;
 import dillfront.router.peers.KeyFile;
 import dillfront.router.peers.PeerRegistry;
@@ -84,7 +84,7 @@
             controlPorts.add(RouterProcess.freePort());
         }
         ByteArrayOutputStream log = new ByteArrayOutputStream();
-        List<Daemon> daemons = new ArrayList<>();
+        List<RouterServer> daemons = new ArrayList<>();
         try (StubBackends backends = new StubBackends(1000)) {
             for (int i = 0; i < ROUTERS; i++) {
                 OperatorConfig operator =
@@ -101,9 +101,9 @@
                 String config =
                         backends.config(RouterProcess.freePort(), 1.0)
                                 .replace("\"name\":\"n0\"", "\"name\":\"r" + i + "\"");
-                Daemon daemon =
-                        new Daemon(
-                                Config.read(
+                RouterServer daemon =
+                        new RouterServer(
+                                RouterConfig.read(
                                         new ByteArrayInputStream(
                                                 config.getBytes(StandardCharsets.UTF_8))),
                                 operator,
@@ -142,7 +142,7 @@
             awaitOccurrences(0, "\"state\":\"left\"", 1);
             awaitOccurrences(1, "\"state\":\"left\"", 1);
         } finally {
-            daemons.forEach(Daemon::stop);
+            daemons.forEach(RouterServer::stop);
         }
         assertTrue(
                 !log.toString(StandardCharsets.UTF_8).contains("fault="),
