--- a/src/test/java/dillfront/router/RouterTest.java
+++ b/src/test/java/dillfront/router/RouterTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dillfront.common.logging.Log;
-import dillfront.router.config.BadConfig;
-import dillfront.router.config.Config;
+import dillfront.router.config.ConfigException;
+import dillfront.router.config.RouterConfig;
 import dillfront.router.pgwire.Messages;
 import dillfront.routing.RoutingHarness;
 import io.netty.buffer.ByteBuf;
@@ -47,7 +47,10 @@
 import org.junit.jupiter.api.TestInfo;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One whole router on loopback, between a client, a node and a list that the test holds. */
+/**
+ * Runs a complete router on loopback between a client, a node and a discovery server controlled by
+ * the test.
+ */
 class RouterTest {
 
     private static final AtomicInteger IDS = new AtomicInteger();
@@ -93,57 +96,57 @@
                     + "'tokens':'kept'},'rules':{'coldFrom':0.2,'coldUs':9000000}}";
 
     /**
-     * For scenes in which no time-out is meant to end: on a busy machine a stand-in takes longer
-     * than these.
+     * Tag of tests in which no timeout is meant to fire: on a busy machine a test server may take
+     * longer than the default timeouts.
      */
-    private static final String PATIENT = "patient";
+    private static final String LONG_TIMEOUTS = "patient";
 
     @TempDir Path dir;
     private final StringBuilder trace = new StringBuilder();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
-    private final List<String> seen = Collections.synchronizedList(new ArrayList<>());
-    private final List<String> asked = Collections.synchronizedList(new ArrayList<>());
-    private final AtomicInteger lists = new AtomicInteger();
+    private final List<String> receivedStatements = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> discoveryRequests = Collections.synchronizedList(new ArrayList<>());
+    private final AtomicInteger discoveryConnections = new AtomicInteger();
 
-    /** Where the loop is to stand still next. */
-    private final Queue<Hold> holds = new ConcurrentLinkedQueue<>();
+    /** Log lines at which the event loop is to be blocked, in order. */
+    private final Queue<LoopHold> loopHolds = new ConcurrentLinkedQueue<>();
 
     /**
-     * The connection on which discovery was asked last for what is newer; and, once the test is
-     * ready to tell, the one that waits.
+     * The connection that sent the last long poll and, once the test is ready to publish, the one
+     * waiting.
      */
-    private volatile Socket last;
+    private volatile Socket lastRequester;
 
-    private volatile Socket waiting;
+    private volatile Socket waitingRequester;
     private volatile boolean ready;
     private ServerSocket node;
     private ServerSocket list;
-    private Daemon daemon;
+    private RouterServer router;
     private Socket client;
 
     @BeforeEach
-    void start(TestInfo scene) throws Exception {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
-        node = new ServerSocket(0, 50, here);
-        list = new ServerSocket(0, 50, here);
+    void start(TestInfo testInfo) throws Exception {
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
+        node = new ServerSocket(0, 50, loopback);
+        list = new ServerSocket(0, 50, loopback);
         serve(node, this::node);
         serve(list, this::list);
-        // Another process may have been given a free port before the router listens there.
-        for (int tries = 1; ; tries++) {
+        // Another process may take the free port before the router binds it.
+        for (int attempt = 1; ; attempt++) {
             try {
-                start(here, scene);
+                start(loopback, testInfo);
                 return;
-            } catch (BadConfig taken) {
-                if (tries == 5 || !taken.getMessage().endsWith("Address already in use")) {
-                    throw taken;
+            } catch (ConfigException e) {
+                if (attempt == 5 || !e.getMessage().endsWith("Address already in use")) {
+                    throw e;
                 }
             }
         }
     }
 
-    private void start(InetAddress here, TestInfo scene) throws Exception {
+    private void start(InetAddress loopback, TestInfo testInfo) throws Exception {
         int port;
-        try (ServerSocket free = new ServerSocket(0, 50, here)) {
+        try (ServerSocket free = new ServerSocket(0, 50, loopback)) {
             port = free.getLocalPort();
         }
         Path config = dir.resolve("config.json");
@@ -154,9 +157,9 @@
                                 + "','discovery':'127.0.0.1:"
                                 + list.getLocalPort()
                                 + "','seed':'8c1f30d27a5be964','limits':{'sockets':256},'known':"
-                                + listed(41)
+                                + completeList(41)
                                 + ",'settings':"
-                                + (scene.getTags().contains(PATIENT)
+                                + (testInfo.getTags().contains(LONG_TIMEOUTS)
                                         ? SETTINGS.replace(
                                                         "'dialTimeoutUs':250000",
                                                         "'dialTimeoutUs':2000000")
@@ -166,60 +169,61 @@
                                         : SETTINGS)
                                 + "}")
                         .replace('\'', '"'));
-        daemon =
-                new Daemon(
-                        Config.read(Map.of("LB_CONFIG", config.toString())),
+        router =
+                new RouterServer(
+                        RouterConfig.read(Map.of("LB_CONFIG", config.toString())),
                         new Log(
                                 new PrintStream(log, true) {
                                     @Override
                                     public void println(Object line) {
                                         super.println(line);
-                                        Hold next = holds.peek();
-                                        if (next != null && line.toString().contains(next.at)) {
-                                            holds.remove().stand();
+                                        LoopHold hold = loopHolds.peek();
+                                        if (hold != null
+                                                && line.toString().contains(hold.logText)) {
+                                            loopHolds.remove().block();
                                         }
                                     }
                                 }));
-        daemon.start();
-        client = new Socket(here, port);
+        router.start();
+        client = new Socket(loopback, port);
         client.setSoTimeout(5000);
     }
 
     @AfterEach
     void stop() throws IOException {
         client.close();
-        if (daemon != null) {
-            daemon.stop();
+        if (router != null) {
+            router.stop();
         }
         node.close();
         list.close();
     }
 
-    // ---- the stand-ins
+    // ---- test servers
 
-    private interface Peer {
-        void meet(Socket socket) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws IOException;
     }
 
-    private static void serve(ServerSocket door, Peer peer) {
+    private static void serve(ServerSocket serverSocket, ConnectionHandler handler) {
         Thread thread =
                 new Thread(
                         () -> {
-                            while (!door.isClosed()) {
+                            while (!serverSocket.isClosed()) {
                                 try {
-                                    Socket socket = door.accept();
-                                    Thread one =
+                                    Socket socket = serverSocket.accept();
+                                    Thread testCase =
                                             new Thread(
                                                     () -> {
                                                         try (socket) {
-                                                            peer.meet(socket);
-                                                        } catch (IOException over) {
-                                                            // The router ended it: so be it.
+                                                            handler.handle(socket);
+                                                        } catch (IOException e) {
+                                                            // The router closed the connection.
                                                         }
                                                     });
-                                    one.setDaemon(true);
-                                    one.start();
-                                } catch (IOException closed) {
+                                    testCase.setDaemon(true);
+                                    testCase.start();
+                                } catch (IOException e) {
                                     return;
                                 }
                             }
@@ -228,7 +232,7 @@
         thread.start();
     }
 
-    private String listed(int generation) {
+    private String completeList(int generation) {
         return "{'generation':"
                 + generation
                 + ",'reset':true,'instances':[{'instanceId':'s-1','hostPort':'127.0.0.1:"
@@ -238,21 +242,21 @@
     }
 
     /**
-     * A second address of discovery: answers at once with the whole list, and notes what it was
-     * asked.
+     * Serves a second discovery address: returns the complete list at once and records the
+     * requests.
      */
-    private void laterList(Socket socket) throws IOException {
+    private void serveSecondDiscovery(Socket socket) throws IOException {
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.startsWith("GET")) {
-                asked.add(line.replaceAll(" HTTP.*", ""));
-            } else if (line.isEmpty() && asked.size() < 2) {
-                answer(socket, listed(42));
+                discoveryRequests.add(line.replaceAll(" HTTP.*", ""));
+            } else if (line.isEmpty() && discoveryRequests.size() < 2) {
+                answer(socket, completeList(42));
             }
         }
-        asked.add("closed");
+        discoveryRequests.add("closed");
     }
 
     private static void answer(Socket socket, String list) throws IOException {
@@ -266,10 +270,11 @@
     }
 
     /**
-     * Answers the first call with rubbish, then the first on each connection: the known list holds.
+     * Sends an invalid response to the first connection, then answers the first request of each
+     * connection; the configured list stays in force.
      */
     private void list(Socket socket) throws IOException {
-        if (lists.incrementAndGet() == 1) {
+        if (discoveryConnections.incrementAndGet() == 1) {
             socket.getOutputStream()
                     .write(
                             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"a\""
@@ -278,7 +283,7 @@
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-        boolean answers = lists.get() > 1;
+        boolean answers = discoveryConnections.get() > 1;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.isEmpty() && answers) {
                 answers = false;
@@ -288,9 +293,11 @@
     }
 
     /**
-     * Discovery by the test's word: the whole list at once or as late as said, then what is told.
+     * Returns a discovery server controlled by the test: the complete list at once or after the
+     * delay, then the queued updates.
      */
-    private Peer tells(BlockingQueue<String> told, long firstAfter) {
+    private ConnectionHandler discoveryFromQueue(
+            BlockingQueue<String> updates, long firstDelayMillis) {
         return socket -> {
             BufferedReader in =
                     new BufferedReader(
@@ -298,13 +305,15 @@
                                     socket.getInputStream(), StandardCharsets.US_ASCII));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("GET")) {
-                    asked.add(line.replaceAll(" HTTP.*", ""));
+                    discoveryRequests.add(line.replaceAll(" HTTP.*", ""));
                 } else if (line.isEmpty()) {
                     try {
-                        pause(asked.size() == 1 ? firstAfter : 0);
+                        pause(discoveryRequests.size() == 1 ? firstDelayMillis : 0);
                         answer(
                                 socket,
-                                asked.size() == 1 && firstAfter == 0 ? listed(42) : told.take());
+                                discoveryRequests.size() == 1 && firstDelayMillis == 0
+                                        ? completeList(42)
+                                        : updates.take());
                     } catch (InterruptedException over) {
                         return;
                     }
@@ -314,11 +323,11 @@
     }
 
     /**
-     * As tells(), but as discovery does: without news it says so once its time is over, and it
-     * tells whoever asked last. From the moment that the test is ready to tell, that one is not
-     * answered before.
+     * Returns a discovery server like discoveryFromQueue() but with long polls: without an update
+     * it answers when the wait ends, and updates go to the last requester. Once the test is ready
+     * to publish, that request is not answered before the update.
      */
-    private Peer watched(BlockingQueue<String> told) {
+    private ConnectionHandler longPollingDiscovery(BlockingQueue<String> updates) {
         return socket -> {
             BufferedReader in =
                     new BufferedReader(
@@ -335,18 +344,19 @@
                     answer(
                             socket,
                             wait == 0
-                                    ? listed(42)
-                                    : whenTold(socket, told, System.nanoTime() + wait * 1_000_000));
+                                    ? completeList(42)
+                                    : awaitUpdate(
+                                            socket, updates, System.nanoTime() + wait * 1_000_000));
                 }
             }
         };
     }
 
-    private String whenTold(Socket socket, BlockingQueue<String> told, long end) {
-        last = socket;
-        while (last == socket && (ready || System.nanoTime() < end)) {
-            waiting = ready ? socket : null;
-            String next = told.poll();
+    private String awaitUpdate(Socket socket, BlockingQueue<String> updates, long end) {
+        lastRequester = socket;
+        while (lastRequester == socket && (ready || System.nanoTime() < end)) {
+            waitingRequester = ready ? socket : null;
+            String next = updates.poll();
             if (next != null) {
                 return next;
             }
@@ -355,71 +365,73 @@
         return "{'generation':42,'reset':false,'instances':[]}";
     }
 
-    private String drains() {
-        return listed(43).replace("'reset':true", "'reset':false").replace("ready", "draining");
+    private String drainingList() {
+        return completeList(43)
+                .replace("'reset':true", "'reset':false")
+                .replace("ready", "draining");
     }
 
     /**
-     * A query that nobody can read, with this word in its line of the log, at which the loop may be
-     * held.
+     * Builds a malformed query that puts the token into a log line at which the event loop can be
+     * blocked.
      */
-    private static ByteBuf busy(String word) {
+    private static ByteBuf malformedQuery(String token) {
         return Messages.query(
                 Unpooled.buffer(),
                 "SELECT body FROM objects WHERE oid = 'k' /* id=1,c=any,d="
-                        + word
+                        + token
                         + ",cluster=2 */");
     }
 
     /**
-     * The router's loop stands still at the first line of its log that holds this text, until it is
-     * let go.
+     * Blocks the router's event loop at the first log line that contains the text, until released.
      */
-    private static final class Hold {
-        private final String at;
-        private final CountDownLatch stands = new CountDownLatch(1);
-        private final CountDownLatch goes = new CountDownLatch(1);
+    private static final class LoopHold {
+        private final String logText;
+        private final CountDownLatch reached = new CountDownLatch(1);
+        private final CountDownLatch released = new CountDownLatch(1);
 
-        Hold(String at) {
-            this.at = at;
+        LoopHold(String logText) {
+            this.logText = logText;
         }
 
-        private void stand() {
-            stands.countDown();
+        private void block() {
+            reached.countDown();
             try {
-                goes.await(20, TimeUnit.SECONDS);
+                released.await(20, TimeUnit.SECONDS);
             } catch (InterruptedException over) {
                 Thread.currentThread().interrupt();
             }
         }
 
-        boolean stands() {
-            return stands.getCount() == 0;
+        boolean reached() {
+            return reached.getCount() == 0;
         }
 
-        void go() {
-            goes.countDown();
+        void release() {
+            released.countDown();
         }
     }
 
-    private Hold hold(String at) {
-        Hold hold = new Hold(at);
-        holds.add(hold);
+    private LoopHold holdLoopAt(String at) {
+        LoopHold hold = new LoopHold(at);
+        loopHolds.add(hold);
         return hold;
     }
 
     /**
-     * How many bytes lie unread in this process's socket between these two ports; -1 where there is
-     * none.
+     * Returns the unread bytes in this process's socket between the two ports; -1 if there is no
+     * such socket.
      */
-    private static int unread(int local, int remote) {
-        String ends = String.format(":%04X [0-9A-F]+:%04X 01 ", local, remote);
+    private static int unreadBytes(int local, int remote) {
+        String endpoints = String.format(":%04X [0-9A-F]+:%04X 01 ", local, remote);
         try {
             for (String file : new String[] {"/proc/net/tcp", "/proc/net/tcp6"}) {
                 for (String line : Files.readAllLines(Path.of(file))) {
-                    if (line.matches(".*" + ends + ".*")) {
+                    if (line.matches(".*" + endpoints + ".*")) {
                         return Integer.parseInt(
-                                line.replaceAll(".*" + ends + "[0-9A-F]+:([0-9A-F]+).*", "$1"), 16);
+                                line.replaceAll(".*" + endpoints + "[0-9A-F]+:([0-9A-F]+).*", "$1"),
+                                16);
                     }
                 }
             }
@@ -429,7 +441,7 @@
         return -1;
     }
 
-    /** Does with a statement what its key says. */
+    /** Serves a node: the statement's key selects the response. */
     private void node(Socket socket) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         in.readNBytes(in.readInt() - 4);
@@ -443,18 +455,19 @@
                 send(socket, Messages.ready(row("x0=1,x1=1")));
                 continue;
             }
-            seen.add(
+            receivedStatements.add(
                     text.replaceAll("id=\\w+,", "id=9b,").replaceAll(",d=\\d{3,4},", ",d=<less>,"));
             String key = text.replaceAll("[^']*'([^']*)'.*", "$1");
-            ByteBuf note = Unpooled.buffer();
-            note.writeByte('S')
+            ByteBuf parameter = Unpooled.buffer();
+            parameter
+                    .writeByte('S')
                     .writeInt(21)
                     .writeBytes("node_role\0leader\0".getBytes(StandardCharsets.US_ASCII));
             switch (key) {
                 case "hang" -> {}
                 case "slow" -> {
                     pause(300);
-                    send(socket, Messages.ready(note.writeBytes(row(key))));
+                    send(socket, Messages.ready(parameter.writeBytes(row(key))));
                 }
                 case "reset" -> {
                     return;
@@ -489,7 +502,8 @@
                         send(
                                 socket,
                                 Messages.ready(
-                                        note.writeByte('S')
+                                        parameter
+                                                .writeByte('S')
                                                 .writeInt(29)
                                                 .writeBytes(
                                                         "server_load\0x0=9e12,x1=7\0"
@@ -498,13 +512,15 @@
                                                 .writeBytes(row("mine"))));
                 case "empty" -> send(socket, Messages.ready(Unpooled.buffer()));
                 case "wide" ->
-                        send(socket, Messages.ready(note.writeBytes(row("w".repeat(300_000)))));
+                        send(
+                                socket,
+                                Messages.ready(parameter.writeBytes(row("w".repeat(300_000)))));
                 case "full", "miss", "error" ->
                         send(
                                 socket,
                                 Messages.ready(
                                         Messages.error(
-                                                note,
+                                                parameter,
                                                 false,
                                                 Map.of(
                                                                 "full", "53300", "miss", "25006",
@@ -512,7 +528,7 @@
                                                         .get(key),
                                                 "no",
                                                 null)));
-                default -> send(socket, Messages.ready(note.writeBytes(row(key))));
+                default -> send(socket, Messages.ready(parameter.writeBytes(row(key))));
             }
         }
     }
@@ -554,14 +570,15 @@
         socket.getOutputStream().write(out);
     }
 
-    // ---- the client
+    // ---- client
 
-    private static ByteBuf ask(String type, String key, int wait) {
-        return ask(type, key, wait, Integer.toHexString(IDS.incrementAndGet()));
+    private static ByteBuf query(String type, String key, int timeoutMillis) {
+        return query(type, key, timeoutMillis, Integer.toHexString(IDS.incrementAndGet()));
     }
 
-    private static ByteBuf ask(String type, String key, int wait, String id) {
-        String comment = "/* id=" + id + ",c=" + type + ",d=" + wait + ",k=5c,cluster=2 */";
+    private static ByteBuf query(String type, String key, int timeoutMillis, String id) {
+        String comment =
+                "/* id=" + id + ",c=" + type + ",d=" + timeoutMillis + ",k=5c,cluster=2 */";
         return Messages.query(
                 Unpooled.buffer(),
                 type.equals("any")
@@ -576,51 +593,53 @@
         return Messages.startup(Unpooled.buffer(), "worker", "catalog");
     }
 
-    /** Reads up to so many ReadyForQuery, or to the end of the connection. */
-    private String hear(int readies) throws IOException {
-        StringBuilder heard = new StringBuilder();
+    /** Reads up to the given number of ReadyForQuery messages, or to the end of the connection. */
+    private String readResponses(int readyCount) throws IOException {
+        StringBuilder responses = new StringBuilder();
         DataInputStream in = new DataInputStream(client.getInputStream());
-        int left = readies;
-        while (left > 0) {
+        int remaining = readyCount;
+        while (remaining > 0) {
             int type = in.read();
             if (type < 0) {
-                return heard.append("end").toString();
+                return responses.append("end").toString();
             }
             byte[] body = in.readNBytes(in.readInt() - 4);
             if (type == 'S' || type == 'K' || type == 'R') {
                 continue;
             }
-            heard.append((char) type);
+            responses.append((char) type);
             if (type == 'D') {
-                heard.append(':')
+                responses
+                        .append(':')
                         .append(new String(body, 6, body.length - 6, StandardCharsets.UTF_8));
             } else if (type == 'E') {
-                heard.append(':')
+                responses
+                        .append(':')
                         .append(
                                 new String(body, StandardCharsets.UTF_8)
                                         .replaceAll("S.*?\0V.*?\0C", "")
                                         .replaceAll("\0+$", "")
                                         .replaceAll("\0", "|"));
             }
-            heard.append(' ');
-            left -= type == 'Z' ? 1 : 0;
+            responses.append(' ');
+            remaining -= type == 'Z' ? 1 : 0;
         }
-        return heard.toString().trim();
+        return responses.toString().trim();
     }
 
-    private void say(String what, ByteBuf bytes, int readies) throws IOException {
+    private void sendAndTrace(String label, ByteBuf bytes, int readyCount) throws IOException {
         send(client, bytes);
-        trace.append(String.format("%-22s %s\n", what, hear(readies)));
+        trace.append(String.format("%-22s %s\n", label, readResponses(readyCount)));
     }
 
-    private void statementsSeen() {
-        seen.stream()
+    private void traceStatements() {
+        receivedStatements.stream()
                 .distinct()
                 .forEach(text -> trace.append("   node: ").append(text).append('\n'));
-        seen.clear();
+        receivedStatements.clear();
     }
 
-    /** The last line of counters. */
+    /** Returns the last line of counters. */
     private String counters() {
         return log.toString(StandardCharsets.UTF_8)
                 .lines()
@@ -629,41 +648,41 @@
                 .orElse("");
     }
 
-    /** Until one line of counters, printed from now on, has all of these. */
-    private void untilCounted(String... all) throws InterruptedException {
+    /** Waits until a line of counters printed from now on matches all patterns. */
+    private void awaitCounters(String... patterns) throws InterruptedException {
         long before =
                 log.toString(StandardCharsets.UTF_8)
                         .lines()
                         .filter(l -> l.contains(" counters "))
                         .count();
         try {
-            until(
-                    "counters have " + List.of(all),
+            awaitCondition(
+                    "counters have " + List.of(patterns),
                     () -> {
-                        daemon.print();
+                        router.printCounters();
                         return log.toString(StandardCharsets.UTF_8)
                                 .lines()
                                 .filter(l -> l.contains(" counters "))
                                 .skip(before)
                                 .anyMatch(
                                         l ->
-                                                Stream.of(all)
+                                                Stream.of(patterns)
                                                         .allMatch(
-                                                                one ->
+                                                                testCase ->
                                                                         l.matches(
-                                                                                ".* " + one
+                                                                                ".* " + testCase
                                                                                         + "( .*|$)")));
                     });
-        } catch (AssertionError never) {
-            throw new AssertionError(never.getMessage() + ": " + counters(), never);
+        } catch (AssertionError e) {
+            throw new AssertionError(e.getMessage() + ": " + counters(), e);
         }
     }
 
-    private void counted(String... names) throws Exception {
+    private void stopAndTraceCounters(String... names) throws Exception {
         client.close();
-        if (daemon != null) {
-            daemon.stop();
-            daemon = null;
+        if (router != null) {
+            router.stop();
+            router = null;
         }
         String line = counters();
         for (String name : names) {
@@ -671,37 +690,37 @@
         }
     }
 
-    /** What was cut off and never given back is found once the collector has been by. */
-    private static void noLeaks() {
+    /** Buffers that were never released are detected after a garbage collection. */
+    private static void assertNoLeaks() {
         for (int i = 0; i < 5; i++) {
             System.gc();
             ByteBufAllocator.DEFAULT.directBuffer(16).release();
         }
-        assertEquals(0, LEAKS.get(), "buffers that were not given back");
+        assertEquals(0, LEAKS.get(), "unreleased buffers");
     }
 
-    // ---- the scenes
+    // ---- tests
 
     @Test
-    void answersInOrderAndStatementsUnchanged() throws Exception {
-        say(
+    void answersInOrderAndForwardsStatementsUnchanged() throws Exception {
+        sendAndTrace(
                 "all in one packet",
                 startup()
                         .writeBytes(Messages.query(Unpooled.buffer(), ""))
-                        .writeBytes(ask("any", "k1", 900))
-                        .writeBytes(ask("move", "k2", 900)),
+                        .writeBytes(query("any", "k1", 900))
+                        .writeBytes(query("move", "k2", 900)),
                 4);
-        say("read", ask("any", "k3", 900), 1);
-        say("a long value", ask("any", "v".repeat(50_000), 900), 1);
-        statementsSeen();
-        say("a longer answer", ask("any", "wide", 900), 1);
+        sendAndTrace("read", query("any", "k3", 900), 1);
+        sendAndTrace("a long value", query("any", "v".repeat(50_000), 900), 1);
+        traceStatements();
+        sendAndTrace("a longer answer", query("any", "wide", 900), 1);
         String shorter =
                 trace.toString()
                         .replaceAll("v{50000}", "v (50000 times)")
                         .replaceAll("w{300000}", "w (300000 times)");
         trace.setLength(0);
         trace.append(shorter);
-        counted(
+        stopAndTraceCounters(
                 "queries",
                 "taken",
                 "committed",
@@ -710,13 +729,13 @@
                 "txns_held",
                 "client_connections",
                 "node_connections");
-        noLeaks();
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-serves", trace);
     }
 
     @Test
-    void endingsAreToldApart() throws Exception {
-        say("startup", startup(), 1);
+    void distinguishesSubmissionResults() throws Exception {
+        sendAndTrace("startup", startup(), 1);
         for (String key :
                 new String[] {
                     "full",
@@ -733,16 +752,16 @@
                     "large",
                     "fields"
                 }) {
-            say("once, " + key, ask("once", key, 400), 1);
-            // Until it has recovered in the module's eyes.
+            sendAndTrace("once, " + key, query("once", key, 400), 1);
+            // Repeated until the routing engine considers the node recovered.
             for (int i = 0; i < 6; i++) {
-                send(client, ask("any", "ok", 900));
-                hear(1);
+                send(client, query("any", "ok", 900));
+                readResponses(1);
             }
-            seen.removeIf(text -> text.contains("'ok'"));
+            receivedStatements.removeIf(text -> text.contains("'ok'"));
         }
-        statementsSeen();
-        counted(
+        traceStatements();
+        stopAndTraceCounters(
                 "out_of_form",
                 "txns_held",
                 "node_connections",
@@ -751,26 +770,26 @@
                 "ended_reset",
                 "ended_spoilt",
                 "ended_timed_out");
-        noLeaks();
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-endings", trace);
     }
 
     /**
-     * Guards against a second copy or noise behind an answer that meets the next txn on that
-     * connection.
+     * Guards against data after a response, such as a duplicate, being treated as the response of
+     * the next transaction on that connection.
      */
     @Test
-    void whatComesBehindAnAnswerIsNobodysAnswer() throws Exception {
-        say("startup", startup(), 1);
+    void discardsDataAfterResponse() throws Exception {
+        sendAndTrace("startup", startup(), 1);
         for (String key : new String[] {"behind", "apart", "noise", "report"}) {
-            say(
+            sendAndTrace(
                     key + ", k1, k2",
-                    ask("once", key, 900)
-                            .writeBytes(ask("any", "k1", 900))
-                            .writeBytes(ask("any", "k2", 900)),
+                    query("once", key, 900)
+                            .writeBytes(query("any", "k1", 900))
+                            .writeBytes(query("any", "k2", 900)),
                     3);
         }
-        counted(
+        stopAndTraceCounters(
                 "committed",
                 "submitted",
                 "node_connections",
@@ -787,39 +806,45 @@
                 .distinct()
                 .sorted()
                 .forEach(line -> trace.append(line).append('\n'));
-        noLeaks();
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-behind", trace);
     }
 
     @Test
-    void whatIsOutOfFormReachesNoNode() throws Exception {
-        say("SSL", Unpooled.buffer().writeInt(8).writeInt(Messages.SSL), 0);
+    void rejectsMalformedQueriesWithoutReachingNode() throws Exception {
+        sendAndTrace("SSL", Unpooled.buffer().writeInt(8).writeInt(Messages.SSL_REQUEST), 0);
         trace.append((char) client.getInputStream().read()).append('\n');
-        say("startup", startup(), 1);
-        say("nonsense", Messages.query(Unpooled.buffer(), "DROP TABLE objects"), 1);
-        say("unknown type", ask("other", "k", 900), 1);
+        sendAndTrace("startup", startup(), 1);
+        sendAndTrace("nonsense", Messages.query(Unpooled.buffer(), "DROP TABLE objects"), 1);
+        sendAndTrace("unknown type", query("other", "k", 900), 1);
         ByteBuf group =
                 Messages.query(
                         Unpooled.buffer(),
                         "SELECT body FROM objects WHERE oid = 'k' /* id=9b,c=any,d=900,cluster=9 */");
-        say("unknown group", group, 1);
+        sendAndTrace("unknown group", group, 1);
         ByteBuf extended = Unpooled.buffer().writeByte('P').writeInt(6).writeShort(0);
         extended.writeByte('E').writeInt(4).writeByte('S').writeInt(4);
-        say("extended", extended, 1);
-        say("still usable", ask("any", "k", 900), 1);
-        say("unknown message", Unpooled.buffer().writeByte('!').writeInt(4), 1);
-        statementsSeen();
-        counted("out_of_form", "taken", "client_connections");
-        noLeaks();
+        sendAndTrace("extended", extended, 1);
+        sendAndTrace("still usable", query("any", "k", 900), 1);
+        sendAndTrace("unknown message", Unpooled.buffer().writeByte('!').writeInt(4), 1);
+        traceStatements();
+        stopAndTraceCounters("out_of_form", "taken", "client_connections");
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-out-of-form", trace);
     }
 
     @Test
-    void whatIsNoClientIsToldSoAndClosed() throws Exception {
+    void closesInvalidClientsWithError() throws Exception {
         Object[][] cases = {
-            {"cancel", Unpooled.buffer().writeInt(16).writeInt(Messages.CANCEL).writeLong(7)},
+            {
+                "cancel",
+                Unpooled.buffer().writeInt(16).writeInt(Messages.CANCEL_REQUEST).writeLong(7)
+            },
             {"version 2", Unpooled.buffer().writeInt(8).writeInt(2 << 16)},
-            {"a startup too long", Unpooled.buffer().writeInt(10_001).writeInt(Messages.VERSION)},
+            {
+                "a startup too long",
+                Unpooled.buffer().writeInt(10_001).writeInt(Messages.PROTOCOL_VERSION)
+            },
             {"a length too small", startup().writeByte('Q').writeInt(3)},
             {
                 "a query too long",
@@ -828,45 +853,45 @@
             {"Terminate", startup().writeByte('X').writeInt(4)}
         };
         Socket first = client;
-        for (Object[] one : cases) {
+        for (Object[] testCase : cases) {
             client = new Socket(first.getInetAddress(), first.getPort());
             client.setSoTimeout(5000);
-            say((String) one[0], (ByteBuf) one[1], 9);
+            sendAndTrace((String) testCase[0], (ByteBuf) testCase[1], 9);
             client.close();
         }
         client = first;
-        say("GSS", Unpooled.buffer().writeInt(8).writeInt(Messages.GSS), 0);
+        sendAndTrace("GSS", Unpooled.buffer().writeInt(8).writeInt(Messages.GSSENC_REQUEST), 0);
         trace.append((char) client.getInputStream().read()).append('\n');
-        say("the others still", startup().writeBytes(ask("any", "k", 900)), 2);
-        counted("accepted", "taken", "client_connections");
-        noLeaks();
+        sendAndTrace("the others still", startup().writeBytes(query("any", "k", 900)), 2);
+        stopAndTraceCounters("accepted", "taken", "client_connections");
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-no-client", trace);
     }
 
-    /** Guards against answers lost, and new clients turned away, while a router is being ended. */
+    /** Guards against lost responses and refused clients during a shutdown. */
     @Test
-    void theEndComesOnceAllIsAnswered() throws Exception {
-        say("startup", startup(), 1);
-        send(client, ask("any", "hang", 1500));
-        until("the node has a submission", () -> !seen.isEmpty());
-        Thread stopping = new Thread(daemon::stop);
+    void stopsOnceAllQueriesAreAnswered() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        send(client, query("any", "hang", 1500));
+        awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
+        Thread stopping = new Thread(router::stop);
         stopping.start();
-        until(
-                "the end has begun",
+        awaitCondition(
+                "the shutdown has begun",
                 () -> log.toString(StandardCharsets.UTF_8).contains(" stopping "));
         Socket first = client;
         client = new Socket(first.getInetAddress(), first.getPort());
-        say("new, while it ends", startup().writeBytes(ask("once", "k", 900)), 2);
-        trace.append("then                   ").append(hear(1)).append('\n');
+        sendAndTrace("new, while it ends", startup().writeBytes(query("once", "k", 900)), 2);
+        trace.append("then                   ").append(readResponses(1)).append('\n');
         client = first;
         trace.append("the first              ")
-                .append(hear(1))
+                .append(readResponses(1))
                 .append(' ')
-                .append(hear(1))
+                .append(readResponses(1))
                 .append('\n');
         stopping.join(4000);
-        daemon = null;
-        counted(
+        router = null;
+        stopAndTraceCounters(
                 "accepted",
                 "taken",
                 "committed",
@@ -877,21 +902,21 @@
         RoutingHarness.assertTraceEquals("router-ends", trace);
     }
 
-    private volatile String toldNow;
+    private volatile String currentList;
 
     /**
-     * The generation that discovery was asked last for more than, and how many connections have had
-     * a list and asked again.
+     * Generation in the last discovery request, and the number of connections that have requested a
+     * list at least twice.
      */
-    private volatile long askedAfter;
+    private volatile long requestedGeneration;
 
-    private final AtomicInteger renewed = new AtomicInteger();
+    private final AtomicInteger refreshedConnections = new AtomicInteger();
 
     /**
-     * Discovery that tells what is so now: whole where nothing is known, else once it is newer or
-     * the wait is over.
+     * Serves the current list: complete if no generation is given, otherwise once it is newer or
+     * the wait ends.
      */
-    private void tellsNow(Socket socket) throws IOException {
+    private void serveCurrentList(Socket socket) throws IOException {
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
@@ -899,9 +924,9 @@
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.startsWith("GET")) {
                 String after = line.replaceAll(".*after=(\\d+)&.*|.*", "$1");
-                askedAfter = after.isEmpty() ? -1 : Long.parseLong(after);
+                requestedGeneration = after.isEmpty() ? -1 : Long.parseLong(after);
                 if (++times == 2) {
-                    renewed.incrementAndGet();
+                    refreshedConnections.incrementAndGet();
                 }
                 long end =
                         System.nanoTime()
@@ -910,37 +935,39 @@
                                                         + line.replaceAll(
                                                                 ".*wait_ms=(\\d+) .*|.*", "$1"))
                                         * 1_000_000;
-                while (System.nanoTime() < end && toldNow.contains(":" + after + ",")) {
+                while (System.nanoTime() < end && currentList.contains(":" + after + ",")) {
                     pause(5);
                 }
-                answer(socket, toldNow);
+                answer(socket, currentList);
             }
         }
     }
 
-    private void switchTo(Path file, String text, String settings) throws Exception {
-        int before = renewed.get();
+    private void reloadSettings(Path file, String text, String settings) throws Exception {
+        int before = refreshedConnections.get();
         Files.writeString(file, text);
-        daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
-        until(
-                "the settings are taken over",
+        router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
+        awaitCondition(
+                "the settings are applied",
                 () ->
                         log.toString(StandardCharsets.UTF_8)
                                 .endsWith(settings + " kept_as_at_start=[]\n"));
-        until("the list is read by the new ones", () -> renewed.get() > before);
+        awaitCondition(
+                "the list is read under the new settings",
+                () -> refreshedConnections.get() > before);
     }
 
     /**
-     * Guards against txns lost or sent twice by a change of settings, and against one that has no
-     * way back.
+     * Guards against transactions lost or sent twice when settings change, and against a change
+     * that cannot be reverted.
      */
     @Test
-    @Tag(PATIENT)
-    void otherSettingsAreTakenOverInServiceAndTakenBack() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void appliesAndRevertsSettingsWhileServing() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            toldNow = listed(42);
-            serve(discovery, this::tellsNow);
-            startAnew(discovery);
+            currentList = completeList(42);
+            serve(discovery, this::serveCurrentList);
+            restartWithDiscovery(discovery);
             Path file = dir.resolve("config.json");
             String first = Files.readString(file);
             String other =
@@ -950,28 +977,33 @@
                             .replace(
                                     "\"deadlineUs\":4000000,\"lateShare\"",
                                     "\"deadlineUs\":3000000,\"lateShare\"");
-            say("startup and query", startup().writeBytes(ask("any", "k", 4_000)), 2);
-            send(client, ask("move", "slow", 4_000));
-            until("seen has 2", () -> seen.size() >= 2);
-            switchTo(file, other, "changed");
-            trace.append("what was out             ").append(hear(1)).append('\n');
-            say("a type that is new", ask("transfer", "new", 4_000), 1);
-            say("one that is no more", ask("move", "old", 4_000), 1);
-            toldNow = listed(43).replace("'reset':true", "'reset':false").replace("ready", "gone");
-            until("the router knows that it is gone", () -> askedAfter == 43);
-            say("gone, and open", ask("transfer", "gone", 4_000), 1);
-            send(client, ask("transfer", "slow", 4_000));
-            until("seen has 5", () -> seen.size() >= 5);
+            sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 4_000)), 2);
+            send(client, query("move", "slow", 4_000));
+            awaitCondition("seen has 2", () -> receivedStatements.size() >= 2);
+            reloadSettings(file, other, "changed");
+            trace.append("what was out             ").append(readResponses(1)).append('\n');
+            sendAndTrace("a type that is new", query("transfer", "new", 4_000), 1);
+            sendAndTrace("one that is no more", query("move", "old", 4_000), 1);
+            currentList =
+                    completeList(43)
+                            .replace("'reset':true", "'reset':false")
+                            .replace("ready", "gone");
+            awaitCondition(
+                    "the router has the list without the node", () -> requestedGeneration == 43);
+            sendAndTrace("gone, and open", query("transfer", "gone", 4_000), 1);
+            send(client, query("transfer", "slow", 4_000));
+            awaitCondition("seen has 5", () -> receivedStatements.size() >= 5);
             Files.writeString(file, other.replace("\"await\"", "\"wait\""));
-            daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
-            switchTo(file, first, "changed");
-            trace.append("what was out             ").append(hear(1)).append('\n');
-            say("gone, and closed", ask("any", "none", 300), 1);
-            toldNow = listed(44);
-            until("the router knows that it is back", () -> askedAfter == 44);
-            say("as before", ask("move", "back", 4_000), 1);
-            statementsSeen();
-            counted(
+            router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
+            reloadSettings(file, first, "changed");
+            trace.append("what was out             ").append(readResponses(1)).append('\n');
+            sendAndTrace("gone, and closed", query("any", "none", 300), 1);
+            currentList = completeList(44);
+            awaitCondition(
+                    "the router has the list with the node", () -> requestedGeneration == 44);
+            sendAndTrace("as before", query("move", "back", 4_000), 1);
+            traceStatements();
+            stopAndTraceCounters(
                     "taken",
                     "committed",
                     "declined",
@@ -993,12 +1025,12 @@
     }
 
     /**
-     * Guards against ending on SIGHUP, against a list asked for where none is any more, and against
-     * a bad file.
+     * Guards against ending on SIGHUP, against polling the old discovery address after a reload,
+     * and against an invalid file.
      */
     @Test
-    @Tag(PATIENT)
-    void aNewConfigurationMovesDiscoveryAndDisturbsNothing() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void movesDiscoveryOnReloadWithoutDisruption() throws Exception {
         Path file = dir.resolve("config.json");
         String first = Files.readString(file);
         Map<String, String> env =
@@ -1007,31 +1039,31 @@
                         file.toString(),
                         "LB_DISCOVERY",
                         "127.0.0.1:" + list.getLocalPort());
-        Signals.on(
+        SignalHandlers.register(
                 "HUP",
-                () -> daemon.reload(() -> Config.again(env)),
+                () -> router.reload(() -> RouterConfig.readForReload(env)),
                 new Log(new PrintStream(log, true)));
-        say("startup", startup(), 1);
-        send(client, ask("any", "slow", 900));
-        until("the node has a submission", () -> !seen.isEmpty());
-        try (ServerSocket later = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(later, this::laterList);
+        sendAndTrace("startup", startup(), 1);
+        send(client, query("any", "slow", 900));
+        awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
+        try (ServerSocket newDiscovery = new ServerSocket(0, 50, list.getInetAddress())) {
+            serve(newDiscovery, this::serveSecondDiscovery);
             Files.writeString(
                     file,
                     first.replace(
                                     "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
-                                    "\"discovery\":\"127.0.0.1:" + later.getLocalPort())
+                                    "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort())
                             .replace("\"sockets\":256", "\"sockets\":300"));
-            hangUp();
-            trace.append("what was out           ").append(hear(1)).append('\n');
-            until("asked has 2", () -> asked.size() >= 2);
+            sendSighup();
+            trace.append("what was out           ").append(readResponses(1)).append('\n');
+            awaitCondition("asked has 2", () -> discoveryRequests.size() >= 2);
             Files.writeString(file, first.substring(9));
-            hangUp();
-            say("after a bad file", ask("any", "k", 900), 1);
-            counted("committed", "lists", "client_connections");
-            until("asked has 3", () -> asked.size() >= 3);
+            sendSighup();
+            sendAndTrace("after a bad file", query("any", "k", 900), 1);
+            stopAndTraceCounters("committed", "lists", "client_connections");
+            awaitCondition("asked has 3", () -> discoveryRequests.size() >= 3);
         }
-        asked.forEach(line -> trace.append(line).append('\n'));
+        discoveryRequests.forEach(line -> trace.append(line).append('\n'));
         log.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(l -> l.contains(" reload"))
@@ -1045,10 +1077,13 @@
         RoutingHarness.assertTraceEquals("router-reloads", trace);
     }
 
-    /** A second router with the node's list from this stand-in alone; the first has ended. */
-    private void startAnew(ServerSocket discovery) throws Exception {
+    /**
+     * Starts a second router that gets its list from this discovery server only; the first has
+     * ended.
+     */
+    private void restartWithDiscovery(ServerSocket discovery) throws Exception {
         client.close();
-        daemon.stop();
+        router.stop();
         Path file = dir.resolve("config.json");
         String text =
                 Files.readString(file)
@@ -1056,134 +1091,148 @@
                                 "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
                                 "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort());
         Files.writeString(file, text);
-        daemon = new Daemon(Config.read(Map.of("LB_CONFIG", file.toString())), daemon.log());
-        daemon.start();
-        client = another();
+        router =
+                new RouterServer(
+                        RouterConfig.read(Map.of("LB_CONFIG", file.toString())), router.log());
+        router.start();
+        client = newClient();
     }
 
     /**
-     * Guards against a send that overtakes a drain told while the loop stood still between decision
-     * and send.
+     * Guards against a send that overtakes a drain published while the event loop was blocked
+     * between decision and send.
      */
     @Test
-    void newsGoBeforeWhatWasDecidedWithoutThem() throws Exception {
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    void readsDrainBeforeSendingDecidedTransaction() throws Exception {
+        BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, watched(told));
-            // Time enough for a txn on the busiest machine: only the order counts here.
+            serve(discovery, longPollingDiscovery(updates));
+            // A deadline long enough for the busiest machine; the test depends on the order only.
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
                     Files.readString(file)
                             .replace("\"deadlineUs\":1000000", "\"deadlineUs\":4000000"));
-            startAnew(discovery);
-            say("startup and query", startup().writeBytes(ask("any", "k", 4_000)), 2);
+            restartWithDiscovery(discovery);
+            sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 4_000)), 2);
             ready = true;
-            until("discovery is asked for what is newer", () -> waiting != null);
-            // In one turn: the loop stands still, a txn is decided, the loop stands still, then the
-            // txn would be sent.
-            Hold before = hold("'still");
-            Hold between = hold(" counters ");
-            send(client, busy("still").writeBytes(ask("move", "drained", 4_000)));
-            until("the loop stands still before it decides", before::stands);
-            daemon.print();
-            before.go();
-            until("the loop stands still between decision and send", between::stands);
-            told.add(drains());
-            until(
-                    "the drain lies unread",
-                    () -> told.isEmpty() && unread(waiting.getPort(), waiting.getLocalPort()) > 0);
-            // Many steps of the clock: whoever was away for so long knows it. More of them change
-            // nothing.
+            awaitCondition("discovery receives a long poll", () -> waitingRequester != null);
+            // In one turn of the loop: blocked, a transaction is decided, blocked again before the
+            // send.
+            LoopHold holdBeforeDecision = holdLoopAt("'still");
+            LoopHold holdBeforeSend = holdLoopAt(" counters ");
+            send(client, malformedQuery("still").writeBytes(query("move", "drained", 4_000)));
+            awaitCondition("the loop is blocked before the decision", holdBeforeDecision::reached);
+            router.printCounters();
+            holdBeforeDecision.release();
+            awaitCondition(
+                    "the loop is blocked between decision and send", holdBeforeSend::reached);
+            updates.add(drainingList());
+            awaitCondition(
+                    "the drain is unread",
+                    () ->
+                            updates.isEmpty()
+                                    && unreadBytes(
+                                                    waitingRequester.getPort(),
+                                                    waitingRequester.getLocalPort())
+                                            > 0);
+            // Many clock steps, so that the router detects the pause; a longer one changes nothing.
             Thread.sleep(100);
-            between.go();
-            trace.append("the loop stands still        ").append(hear(1)).append('\n');
-            trace.append("a txn to a node that drains  ").append(hear(1)).append('\n');
-            statementsSeen();
+            holdBeforeSend.release();
+            trace.append("the loop stands still        ").append(readResponses(1)).append('\n');
+            trace.append("a txn to a node that drains  ").append(readResponses(1)).append('\n');
+            traceStatements();
         }
-        counted("committed", "declined", "ended_unsent");
+        stopAndTraceCounters("committed", "declined", "ended_unsent");
         RoutingHarness.assertTraceEquals("router-news-first", trace);
     }
 
     /**
-     * Guards against a drain that the old discovery has told, and that lies unread while the new
-     * one is not up.
+     * Guards against a drain that the previous discovery server has published and that is unread
+     * while the new one is unreachable.
      */
     @Test
-    @Tag(PATIENT)
-    void whatTheFormerDiscoveryToldHolds() throws Exception {
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    @Tag(LONG_TIMEOUTS)
+    void honorsDrainFromPreviousDiscovery() throws Exception {
+        BlockingQueue<String> updates = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress());
-                ServerSocket silent = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, watched(told));
-            startAnew(discovery);
-            say("startup and query", startup().writeBytes(ask("any", "k", 900)), 2);
+                ServerSocket unresponsiveDiscovery =
+                        new ServerSocket(0, 50, list.getInetAddress())) {
+            serve(discovery, longPollingDiscovery(updates));
+            restartWithDiscovery(discovery);
+            sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 900)), 2);
             ready = true;
-            until("discovery is asked for what is newer", () -> waiting != null);
-            Hold still = hold("'still");
-            send(client, busy("still"));
-            until("the loop stands still", still::stands);
-            told.add(drains());
-            until(
-                    "the drain lies unread",
-                    () -> told.isEmpty() && unread(waiting.getPort(), waiting.getLocalPort()) > 0);
+            awaitCondition("discovery receives a long poll", () -> waitingRequester != null);
+            LoopHold loopHold = holdLoopAt("'still");
+            send(client, malformedQuery("still"));
+            awaitCondition("the loop is blocked", loopHold::reached);
+            updates.add(drainingList());
+            awaitCondition(
+                    "the drain is unread",
+                    () ->
+                            updates.isEmpty()
+                                    && unreadBytes(
+                                                    waitingRequester.getPort(),
+                                                    waitingRequester.getLocalPort())
+                                            > 0);
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
                     Files.readString(file)
-                            .replace(":" + discovery.getLocalPort(), ":" + silent.getLocalPort()));
-            daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
-            // As long as a drain may take to be known.
+                            .replace(
+                                    ":" + discovery.getLocalPort(),
+                                    ":" + unresponsiveDiscovery.getLocalPort()));
+            router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
+            // Time allowed for a drain to take effect.
             Thread.sleep(300);
-            still.go();
-            trace.append("the loop stood still  ").append(hear(1)).append('\n');
-            say("after the grace", ask("any", "drained", 300), 1);
-            statementsSeen();
-            counted("lists", "committed", "declined");
+            loopHold.release();
+            trace.append("the loop stood still  ").append(readResponses(1)).append('\n');
+            sendAndTrace("after the grace", query("any", "drained", 300), 1);
+            traceStatements();
+            stopAndTraceCounters("lists", "committed", "declined");
         }
         RoutingHarness.assertTraceEquals("router-former", trace);
     }
 
-    /** Guards against a door that opens on a list that is old by a restart. */
+    /** Guards against a listener that opens with a member list from before the restart. */
     @Test
-    @Tag(PATIENT)
-    void theDoorOpensOnceDiscoveryHasSpoken() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void listensOnceDiscoveryHasAnswered() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(discovery, tells(new LinkedBlockingQueue<>(List.of(drains())), 300));
-            startAnew(discovery);
-            say("the first query", startup().writeBytes(ask("any", "drained", 300)), 2);
-            statementsSeen();
-            counted("lists", "committed", "declined");
+            serve(
+                    discovery,
+                    discoveryFromQueue(new LinkedBlockingQueue<>(List.of(drainingList())), 300));
+            restartWithDiscovery(discovery);
+            sendAndTrace("the first query", startup().writeBytes(query("any", "drained", 300)), 2);
+            traceStatements();
+            stopAndTraceCounters("lists", "committed", "declined");
         }
         RoutingHarness.assertTraceEquals("router-door", trace);
     }
 
-    /**
-     * Guards against a list that stands still because the connection to discovery has fallen
-     * silent.
-     */
+    /** Guards against a member list that goes stale because discovery stops answering. */
     @Test
-    void aWatchThatFallsSilentIsBegunAnew() throws Exception {
-        say("startup", startup(), 1);
-        long since = System.nanoTime();
-        until("lists has 4", () -> lists.get() >= 4);
-        long took = (System.nanoTime() - since) / 1_000_000;
+    void reconnectsToUnresponsiveDiscovery() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        long startNanos = System.nanoTime();
+        awaitCondition("lists has 4", () -> discoveryConnections.get() >= 4);
+        long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
         trace.append("asked twice more, after two silences, within 4 s: ")
-                .append(took < 4000 && took > 1000)
+                .append(elapsedMillis < 4000 && elapsedMillis > 1000)
                 .append('\n');
         RoutingHarness.assertTraceEquals("router-list-silent", trace);
     }
 
     /**
-     * Where the signal is ignored, as nohup leaves it, `env --default-signal=HUP` in .ci/run
-     * restores it.
+     * Sends SIGHUP to this process. If the signal is ignored, as under nohup, `env
+     * --default-signal=HUP` in .ci/run restores it.
      */
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         long before = reloads();
         new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
                 .start()
                 .waitFor();
-        until("the configuration is read anew after SIGHUP", () -> reloads() > before);
+        awaitCondition("the configuration is reloaded after SIGHUP", () -> reloads() > before);
     }
 
     private long reloads() {
@@ -1193,45 +1242,51 @@
                 .count();
     }
 
-    /** Bounded, and it fails with what it waited for. */
-    private static void until(String what, BooleanSupplier is) throws InterruptedException {
-        for (long end = System.nanoTime() + 20_000_000_000L; !is.getAsBoolean(); ) {
-            assertTrue(System.nanoTime() < end, "waited 20 s in vain until " + what);
+    /** Waits up to 20 s and fails with the description of the condition. */
+    private static void awaitCondition(String description, BooleanSupplier condition)
+            throws InterruptedException {
+        for (long end = System.nanoTime() + 20_000_000_000L; !condition.getAsBoolean(); ) {
+            assertTrue(
+                    System.nanoTime() < end, "timed out after 20 s waiting until " + description);
             Thread.sleep(5);
         }
     }
 
-    /** Guards against rows, connections and tables of nodes that are replaced all day. */
+    /**
+     * Guards against leaking rows, connections and table entries of nodes that are replaced
+     * continuously.
+     */
     @Test
-    @Tag(PATIENT)
-    void nodesThatAreReplacedLeaveNothingBehind() throws Exception {
-        say("startup", startup(), 1);
-        try (ServerSocket later = new ServerSocket(0, 50, list.getInetAddress())) {
-            serve(later, this::changingList);
+    @Tag(LONG_TIMEOUTS)
+    void freesStateOfReplacedNodes() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        try (ServerSocket newDiscovery = new ServerSocket(0, 50, list.getInetAddress())) {
+            serve(newDiscovery, this::serveChangingList);
             Path file = dir.resolve("config.json");
             Files.writeString(
                     file,
                     Files.readString(file)
                             .replace(
                                     "\"discovery\":\"127.0.0.1:" + list.getLocalPort(),
-                                    "\"discovery\":\"127.0.0.1:" + later.getLocalPort()));
-            daemon.reload(() -> Config.read(Map.of("LB_CONFIG", file.toString())));
+                                    "\"discovery\":\"127.0.0.1:" + newDiscovery.getLocalPort()));
+            router.reload(() -> RouterConfig.read(Map.of("LB_CONFIG", file.toString())));
             for (int i = 0; i < 100; i++) {
-                // Out while its node is replaced; but no faster than the router hears of it, or
-                // more rows are in use at once.
-                // The last comes while nothing is out: a probe's connection is all that there is to
-                // it.
+                // A transaction is in flight while its node is replaced, but replacements wait for
+                // the router to receive each list; otherwise more rows are in use at once. During
+                // the last replacement nothing is in flight, so its connection comes from a probe.
                 if (i < 99) {
-                    send(client, ask("any", "k", 4_000));
+                    send(client, query("any", "k", 4_000));
                 }
-                replaced = i;
+                replacementCount = i;
                 if (i < 99) {
-                    hear(1);
+                    readResponses(1);
                 }
-                int told = FIRST_OF_CHANGES + i;
-                until("the router has list " + told, () -> askedAfter == told);
+                int generation = FIRST_REPLACEMENT_GENERATION + i;
+                awaitCondition(
+                        "the router has list " + generation,
+                        () -> requestedGeneration == generation);
             }
-            untilCounted("node_rows=[2-5]", "node_connections=1");
+            awaitCounters("node_rows=[2-5]", "node_connections=1");
         }
         trace.append("connections to nodes now: ")
                 .append(counters().replaceAll(".* node_connections=(\\d+).*", "$1"))
@@ -1239,19 +1294,19 @@
         trace.append("at most 5 rows for 100 machines: ")
                 .append(counters().matches(".* node_rows=[2-5] .*"))
                 .append('\n');
-        say("the last of 100", ask("any", "k", 4_000), 1);
-        counted("txns_held", "node_connections", "timers");
-        noLeaks();
+        sendAndTrace("the last of 100", query("any", "k", 4_000), 1);
+        stopAndTraceCounters("txns_held", "node_connections", "timers");
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-replaced", trace);
     }
 
-    private static final int FIRST_OF_CHANGES = 50;
+    private static final int FIRST_REPLACEMENT_GENERATION = 50;
 
-    /** How often the machine was replaced so far. */
-    private volatile int replaced;
+    /** Number of replacements of the node so far. */
+    private volatile int replacementCount;
 
-    /** Tells of the newest machine, and that all are gone which whoever asks was told of before. */
-    private void changingList(Socket socket) throws IOException {
+    /** Lists the newest node as ready, and the nodes since the requested generation as gone. */
+    private void serveChangingList(Socket socket) throws IOException {
         BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
@@ -1267,13 +1322,14 @@
                         line.contains("wait_ms=")
                                 ? Long.parseLong(line.replaceAll(".*wait_ms=(\\d+).*", "$1"))
                                 : 0;
-                askedAfter = after;
+                requestedGeneration = after;
             } else if (line.isEmpty()) {
                 for (long end = System.nanoTime() + wait * 1_000_000;
-                        FIRST_OF_CHANGES + replaced <= after && System.nanoTime() < end; ) {
+                        FIRST_REPLACEMENT_GENERATION + replacementCount <= after
+                                && System.nanoTime() < end; ) {
                     pause(1);
                 }
-                int now = FIRST_OF_CHANGES + replaced;
+                int now = FIRST_REPLACEMENT_GENERATION + replacementCount;
                 String entry =
                         "{'instanceId':'s-%d','hostPort':'127.0.0.1:"
                                 + node.getLocalPort()
@@ -1282,8 +1338,10 @@
                 if (now > after) {
                     entries.add(String.format(entry, now, "ready"));
                 }
-                for (long old = Math.max(after, 0); old > 0 && old < now; old++) {
-                    entries.add(String.format(entry, old, "gone"));
+                for (long departedNode = Math.max(after, 0);
+                        departedNode > 0 && departedNode < now;
+                        departedNode++) {
+                    entries.add(String.format(entry, departedNode, "gone"));
                 }
                 answer(
                         socket,
@@ -1298,105 +1356,105 @@
         }
     }
 
-    /** Guards against blaming a node for the router's own limit on connections. */
+    /** Guards against blaming a node for the router's own connection limit. */
     @Test
-    @Tag(PATIENT)
-    void withNoConnectionLeftNothingIsSentAndNoNodeBlamed() throws Exception {
+    @Tag(LONG_TIMEOUTS)
+    void doesNotBlameNodeForOwnConnectionLimit() throws Exception {
         client.close();
-        daemon.stop();
+        router.stop();
         Path file = dir.resolve("config.json");
         Files.writeString(
                 file, Files.readString(file).replace("\"sockets\":256", "\"sockets\":44"));
-        daemon =
-                new Daemon(
-                        Config.read(Map.of("LB_CONFIG", file.toString())),
+        router =
+                new RouterServer(
+                        RouterConfig.read(Map.of("LB_CONFIG", file.toString())),
                         new Log(new PrintStream(log, true)));
-        daemon.start();
+        router.start();
         for (int i = 1; i < 3; i++) {
-            client = another();
-            send(client, startup().writeBytes(ask("once", "hang", 3_000)));
-            int many = i;
-            until("seen has " + many, () -> seen.size() >= many);
+            client = newClient();
+            send(client, startup().writeBytes(query("once", "hang", 3_000)));
+            int count = i;
+            awaitCondition("seen has " + count, () -> receivedStatements.size() >= count);
             client.close();
-            untilCounted("left=" + many);
+            awaitCounters("left=" + count);
         }
-        client = another();
-        say("both are in use", startup().writeBytes(ask("once", "k", 900)), 2);
-        statementsSeen();
-        counted("submitted", "ended_unreachable", "declined", "timers");
+        client = newClient();
+        sendAndTrace("both are in use", startup().writeBytes(query("once", "k", 900)), 2);
+        traceStatements();
+        stopAndTraceCounters("submitted", "ended_unreachable", "declined", "timers");
         RoutingHarness.assertTraceEquals("router-no-connection", trace);
     }
 
-    /** Guards against running out of descriptors: idle clients make room for new ones. */
+    /** Guards against running out of descriptors: idle clients are closed for new ones. */
     @Test
-    void atTheLimitTheClientIdleLongestMakesRoom() throws Exception {
-        say("startup", startup(), 1);
-        List<Socket> more = new ArrayList<>();
+    void evictsLongestIdleClientAtLimit() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        List<Socket> idleClients = new ArrayList<>();
         Socket first = client;
         for (int i = 0; i < 108; i++) {
             client = new Socket(first.getInetAddress(), first.getPort());
             client.setSoTimeout(5000);
-            more.add(client);
+            idleClients.add(client);
             send(client, startup().writeBytes(Messages.query(Unpooled.buffer(), "")));
-            hear(2);
+            readResponses(2);
         }
-        say("the last of 109", ask("any", "k", 900), 1);
+        sendAndTrace("the last of 109", query("any", "k", 900), 1);
         client = first;
-        trace.append("the first              ").append(hear(1)).append('\n');
-        for (Socket socket : more) {
+        trace.append("the first              ").append(readResponses(1)).append('\n');
+        for (Socket socket : idleClients) {
             socket.close();
         }
-        counted("accepted", "committed", "client_connections");
+        stopAndTraceCounters("accepted", "committed", "client_connections");
         RoutingHarness.assertTraceEquals("router-full", trace);
     }
 
-    private Socket another() throws IOException {
+    private Socket newClient() throws IOException {
         Socket socket = new Socket(client.getInetAddress(), client.getPort());
         socket.setSoTimeout(5000);
         return socket;
     }
 
     /**
-     * Guards against hundreds that say nothing, or half of something, in the place of those who
-     * ask.
+     * Guards against hundreds of connections without a complete query that lock out regular
+     * clients.
      */
     @Test
-    void thoseWhoSayNothingKeepNobodyOutAndGo() throws Exception {
-        say("startup and query", startup().writeBytes(ask("any", "k", 900)), 2);
-        List<Socket> silent = new ArrayList<>();
-        long since = System.nanoTime();
+    void inactiveConnectionsDoNotBlockClients() throws Exception {
+        sendAndTrace("startup and query", startup().writeBytes(query("any", "k", 900)), 2);
+        List<Socket> inactiveClients = new ArrayList<>();
+        long startNanos = System.nanoTime();
         Socket first = client;
         for (int i = 0; i < 300; i++) {
             client = first;
-            silent.add(another());
+            inactiveClients.add(newClient());
             if (i % 3 == 1) {
-                send(silent.get(i), startup());
+                send(inactiveClients.get(i), startup());
             } else if (i % 3 == 2) {
-                send(silent.get(i), startup().writeBytes(ask("any", "half", 900), 30));
+                send(inactiveClients.get(i), startup().writeBytes(query("any", "half", 900), 30));
             }
             if (i % 50 == 49) {
-                client = another();
-                say(
+                client = newClient();
+                sendAndTrace(
                         "a new one among " + (i + 1),
-                        startup().writeBytes(ask("any", "k" + i, 900)),
+                        startup().writeBytes(query("any", "k" + i, 900)),
                         2);
                 client.close();
             }
         }
         client = first;
-        say("the first", ask("any", "k", 900), 1);
-        for (Socket socket : silent) {
-            while (reads(socket)) {}
+        sendAndTrace("the first", query("any", "k", 900), 1);
+        for (Socket socket : inactiveClients) {
+            while (readsByte(socket)) {}
         }
         trace.append("the silent are closed within 3 s: ")
-                .append(System.nanoTime() - since < 3_000_000_000L)
+                .append(System.nanoTime() - startNanos < 3_000_000_000L)
                 .append('\n');
-        counted("accepted", "committed", "client_connections");
-        noLeaks();
+        stopAndTraceCounters("accepted", "committed", "client_connections");
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-silent", trace);
     }
 
-    private static boolean reads(Socket socket) {
+    private static boolean readsByte(Socket socket) {
         try {
             return socket.getInputStream().read() >= 0;
         } catch (IOException reset) {
@@ -1404,18 +1462,21 @@
         }
     }
 
-    /** Guards against a txn that passes for another's, and a wait that nobody could have. */
+    /**
+     * Guards against a transaction that is confused with another one with its id, and against an
+     * excessive client timeout.
+     */
     @Test
-    void anIdThatIsOpenIsRefused() throws Exception {
-        say("startup", startup(), 1);
-        send(client, ask("any", "slow", 900, "7f"));
-        until("the node has a submission", () -> !seen.isEmpty());
+    void rejectsOpenTransactionId() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        send(client, query("any", "slow", 900, "7f"));
+        awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
         Socket first = client;
-        client = another();
-        say("the same id", startup().writeBytes(ask("any", "k", 900, "7f")), 2);
-        say(
+        client = newClient();
+        sendAndTrace("the same id", startup().writeBytes(query("any", "k", 900, "7f")), 2);
+        sendAndTrace(
                 "a wait of ages",
-                ask("any", "k", 900)
+                query("any", "k", 900)
                         .writerIndex(0)
                         .writeBytes(
                                 Messages.query(
@@ -1425,16 +1486,16 @@
                 1);
         client.close();
         client = first;
-        trace.append("the first              ").append(hear(1)).append('\n');
-        say("the id once it is over", ask("any", "k", 900, "7f"), 1);
-        statementsSeen();
-        counted("out_of_form", "taken", "committed");
+        trace.append("the first              ").append(readResponses(1)).append('\n');
+        sendAndTrace("the id once it is over", query("any", "k", 900, "7f"), 1);
+        traceStatements();
+        stopAndTraceCounters("out_of_form", "taken", "committed");
         RoutingHarness.assertTraceEquals("router-same-id", trace);
     }
 
     @Test
-    void whatCannotBeUsedIsNamed() throws Exception {
-        String good = Files.readString(dir.resolve("config.json"));
+    void namesConfigurationFault() throws Exception {
+        String validConfig = Files.readString(dir.resolve("config.json"));
         String[][] cases = {
             {"", ""},
             {"'reset':true", "'reset':tru"},
@@ -1459,12 +1520,14 @@
                     file,
                     change[0].isEmpty()
                             ? ""
-                            : good.replace(
+                            : validConfig.replace(
                                     change[0].replace('\'', '"'), change[1].replace('\'', '"')));
             trace.append(
                             assertThrows(
-                                            BadConfig.class,
-                                            () -> Config.read(Map.of("LB_CONFIG", file.toString())))
+                                            ConfigException.class,
+                                            () ->
+                                                    RouterConfig.read(
+                                                            Map.of("LB_CONFIG", file.toString())))
                                     .getMessage()
                                     .replace(file.toString(), "FILE")
                                     .replaceAll(":\\d{4,5}", ":PORT"))
@@ -1479,24 +1542,27 @@
                                 dir.resolve("config.json").toString(),
                                 "LB_LISTEN",
                                 "here"))) {
-            trace.append(assertThrows(BadConfig.class, () -> Config.read(env)).getMessage())
+            trace.append(
+                            assertThrows(ConfigException.class, () -> RouterConfig.read(env))
+                                    .getMessage())
                     .append('\n');
         }
-        Daemon second =
-                new Daemon(
-                        Config.read(Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
+        RouterServer secondRouter =
+                new RouterServer(
+                        RouterConfig.read(
+                                Map.of("LB_CONFIG", dir.resolve("config.json").toString())),
                         new Log(new PrintStream(log, true)));
         trace.append(
-                        assertThrows(BadConfig.class, second::start)
+                        assertThrows(ConfigException.class, secondRouter::start)
                                 .getMessage()
                                 .replaceAll(":\\d{4,5}", ":PORT"))
                 .append('\n');
         RoutingHarness.assertTraceEquals("bad-config", trace);
     }
 
-    /** Guards against a door that opens while the start is still being paid for. */
+    /** Guards against a listener that opens before the CPU debt of the start is paid back. */
     @Test
-    void theStartIsPaidForBeforeTheDoorOpens() throws Exception {
+    void paysBackStartupCpuDebt() throws Exception {
         long[][] cases = {
             {200, 280, 50}, {310, 300, 50}, {100, 280, 50}, {100, 280, 100}, {900, 300, 10}
         };
@@ -1507,7 +1573,7 @@
                             c[0],
                             c[1],
                             c[2],
-                            Daemon.owed(
+                            RouterServer.cpuDebt(
                                             java.time.Duration.ofMillis(c[0]),
                                             java.time.Duration.ofMillis(c[1]),
                                             c[2] / 100.0)
@@ -1517,13 +1583,13 @@
     }
 
     @Test
-    void aClientThatLeavesLeavesNothingBehind() throws Exception {
-        say("startup", startup(), 1);
-        send(client, ask("any", "hang", 900));
-        until("the node has a submission", () -> !seen.isEmpty());
+    void freesStateOfDisconnectedClient() throws Exception {
+        sendAndTrace("startup", startup(), 1);
+        send(client, query("any", "hang", 900));
+        awaitCondition("the node has a submission", () -> !receivedStatements.isEmpty());
         client.close();
-        untilCounted("ended_timed_out=1", "txns_held=0");
-        counted(
+        awaitCounters("ended_timed_out=1", "txns_held=0");
+        stopAndTraceCounters(
                 "taken",
                 "left",
                 "committed",
@@ -1533,7 +1599,7 @@
                 "node_connections",
                 "timers",
                 "ended_timed_out");
-        noLeaks();
+        assertNoLeaks();
         RoutingHarness.assertTraceEquals("router-left", trace);
     }
 }
--- a/src/test/java/dillfront/router/discovery/ListTest.java
+++ b/src/test/java/dillfront/router/discovery/ListTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dillfront.common.logging.Log;
-import dillfront.router.config.Clock;
-import dillfront.router.config.Setup;
-import dillfront.router.config.Tree;
+import dillfront.router.config.JsonObject;
+import dillfront.router.config.MonotonicClock;
+import dillfront.router.config.RouterSettings;
 import dillfront.routing.RoutingHarness;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The HTTP parser and the list reader, fed whole, in pieces and with what is broken. */
+/** Tests the HTTP decoder and the member list reader with complete, split and malformed input. */
 class ListTest {
 
     private final StringBuilder trace = new StringBuilder();
@@ -27,36 +27,39 @@
     }
 
     private static String parse(String... pieces) {
-        StringBuilder seen = new StringBuilder();
-        HttpAnswers answers = new HttpAnswers();
+        StringBuilder output = new StringBuilder();
+        HttpResponseDecoder answers = new HttpResponseDecoder();
         try {
             for (String piece : pieces) {
                 answers.add(bytes(piece));
                 for (ByteBuf body = answers.next(); body != null; body = answers.next()) {
-                    seen.append(answers.status())
+                    output.append(answers.status())
                             .append(" '")
                             .append(body.toString(StandardCharsets.UTF_8))
                             .append("' ");
                     body.release();
                 }
             }
-        } catch (BadHttp bad) {
-            seen.append(bad.getMessage());
+        } catch (HttpFormatException e) {
+            output.append(e.getMessage());
         }
         answers.release();
-        return seen.append('\n').toString();
+        return output.append('\n').toString();
     }
 
     @Test
-    void answers() throws IOException {
-        String two =
+    void decodesResponses() throws IOException {
+        String responses =
                 "HTTP/1.1 200 OK\r\nX: y\r\nContent-Length: 3\r\n\r\n{a}HTTP/1.1 503 No\r\ncontent-length:0\r\n\r\n";
-        String whole = parse(two);
-        trace.append(whole);
-        for (int at = 1; at < two.length(); at++) {
-            assertEquals(whole, parse(two.substring(0, at), two.substring(at)), "cut at " + at);
+        String expected = parse(responses);
+        trace.append(expected);
+        for (int at = 1; at < responses.length(); at++) {
+            assertEquals(
+                    expected,
+                    parse(responses.substring(0, at), responses.substring(at)),
+                    "cut at " + at);
         }
-        assertEquals(whole, parse(two.split("")), "byte by byte");
+        assertEquals(expected, parse(responses.split("")), "byte by byte");
         trace.append(
                 parse(
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{a}\r\n0\r\n\r\n"));
@@ -69,13 +72,17 @@
         RoutingHarness.assertTraceEquals("http", trace);
     }
 
-    /** Guards against a table of all machines that there ever were. */
+    /** Guards against an index table that grows with every node that ever existed. */
     @Test
-    void machinesThatAreReplacedAllDayNeedNoMoreIndices() throws IOException {
-        MemberList list = new MemberList(Setup.read(new Tree()), new Clock(), new Log(System.err));
+    void reusesIndicesOfReplacedNodes() throws IOException {
+        MemberList list =
+                new MemberList(
+                        RouterSettings.read(new JsonObject()),
+                        new MonotonicClock(),
+                        new Log(System.err));
         String entry =
                 "{'instanceId':'s-%d','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'%s'}";
-        StringBuilder seen = new StringBuilder();
+        StringBuilder output = new StringBuilder();
         for (int day = 0; day < 1000; day++) {
             String change =
                     day % 10 == 9
@@ -85,7 +92,7 @@
                                     + String.format(entry, day - 1, "gone");
             List<Member> members =
                     list.read(
-                            Tree.parse(
+                            JsonObject.parse(
                                     new ByteArrayInputStream(
                                             ("{'generation':1,'reset':"
                                                             + (day % 10 == 9)
@@ -96,20 +103,22 @@
                                                     .getBytes(StandardCharsets.UTF_8))));
             if (day < 3) {
                 members.forEach(
-                        m -> seen.append(m.row().node()).append(m.row().standing()).append(' '));
+                        m -> output.append(m.row().node()).append(m.row().standing()).append(' '));
             }
-            // What was out at index 0 never ends; all others are given back a day late.
-            int later = day;
-            list.forget(node -> node > 0 && later % 2 == 0);
+            // Index 0 is never released; all others are released up to a day late.
+            int currentDay = day;
+            list.removeDeparted(node -> node > 0 && currentDay % 2 == 0);
         }
-        assertEquals("0READY 1READY 0GONE 2READY 1GONE | 4", seen + "| " + list.indices());
+        assertEquals("0READY 1READY 0GONE 2READY 1GONE | 4", output + "| " + list.indexCount());
     }
 
     @Test
-    void anEntryThatCannotBeReadDoesNotSpoilTheOthers() throws IOException {
-        ByteArrayOutputStream lines = new ByteArrayOutputStream();
-        Setup setup = Setup.read(new Tree());
-        MemberList list = new MemberList(setup, new Clock(), new Log(new PrintStream(lines, true)));
+    void skipsUnreadableEntry() throws IOException {
+        ByteArrayOutputStream logLines = new ByteArrayOutputStream();
+        RouterSettings setup = RouterSettings.read(new JsonObject());
+        MemberList list =
+                new MemberList(
+                        setup, new MonotonicClock(), new Log(new PrintStream(logLines, true)));
         String entry =
                 "{'instanceId':'s-1','hostPort':'10.1.0.18:5432','zone':'a','cell':3,'lifecycle':'ready',"
                         + "'weight':1.5,'startedAtMs':0,'role':'leader'}";
@@ -133,16 +142,16 @@
                         + "]}";
         List<Member> members =
                 list.read(
-                        Tree.parse(
+                        JsonObject.parse(
                                 new ByteArrayInputStream(
                                         text.replace('\'', '"').getBytes(StandardCharsets.UTF_8))));
         members.forEach(m -> trace.append(m).append('\n'));
         trace.append("group 3: ")
-                .append(list.mayHave(3))
+                .append(list.mayHaveGroup(3))
                 .append(", group 4: ")
-                .append(list.mayHave(4))
+                .append(list.mayHaveGroup(4))
                 .append('\n');
-        lines.toString(StandardCharsets.UTF_8)
+        logLines.toString(StandardCharsets.UTF_8)
                 .lines()
                 .forEach(line -> trace.append(line.substring(line.indexOf("WARN"))).append('\n'));
         RoutingHarness.assertTraceEquals("list", trace);
--- a/src/test/java/dillfront/router/pgwire/KeyTest.java
+++ b/src/test/java/dillfront/router/pgwire/KeyTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * What rights are asked about is what a node reads as the key: all between the quotes, byte for
- * byte.
+ * The key that permissions are checked against is the key that a node reads: all bytes between the
+ * quotes.
  */
 class KeyTest {
 
@@ -21,11 +21,11 @@
     private static final String BEHIND = "' /* id=9b1f,c=history,d=480,cluster=2 */";
 
     @Property(tries = 1000, seed = "51")
-    void theKeyIsAllBetweenTheQuotes(@ForAll @Size(max = 40) byte[] key, @ForAll boolean quoted) {
+    void readsKeyBetweenQuotes(@ForAll @Size(max = 40) byte[] key, @ForAll boolean quoted) {
         if (quoted && key.length > 2) {
             key[key.length / 2] = '\'';
         }
-        // As a message comes: behind others in the buffer that was read into.
+        // As received: behind other messages in the buffer.
         ByteBuf message = Unpooled.buffer().writeZero(7);
         message.readerIndex(7);
         message.writeByte('Q').writeInt(0);
@@ -34,23 +34,23 @@
                 .writeBytes(BEHIND.getBytes(StandardCharsets.US_ASCII))
                 .writeByte(0);
         message.setInt(8, message.readableBytes() - 1);
-        boolean plain = key.length > 0;
+        boolean hasNoQuote = key.length > 0;
         for (byte b : key) {
-            plain &= b != '\'';
+            hasNoQuote &= b != '\'';
         }
-        Statement read;
+        Statement statement;
         try {
-            read = Statement.read(message);
-        } catch (BadStatement bad) {
-            assertEquals(false, plain, bad.getMessage());
+            statement = Statement.read(message);
+        } catch (StatementFormatException e) {
+            assertEquals(false, hasNoQuote, e.getMessage());
             return;
         }
-        // A key that holds a quote is no key that could be read in two ways.
-        assertEquals(true, plain);
-        byte[] seen = new byte[read.length()];
-        for (int i = 0; i < seen.length; i++) {
-            seen[i] = read.byteAt(i);
+        // A key that contains a quote would be ambiguous and is refused.
+        assertEquals(true, hasNoQuote);
+        byte[] readKey = new byte[statement.length()];
+        for (int i = 0; i < readKey.length; i++) {
+            readKey[i] = statement.byteAt(i);
         }
-        assertArrayEquals(key, seen, Arrays.toString(seen));
+        assertArrayEquals(key, readKey, Arrays.toString(readKey));
     }
 }
