--- a/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
+++ b/src/main/java/dillfront/bootstrap/DataPlaneProgram.java
@@ -74,7 +74,7 @@
                             "{}".getBytes(StandardCharsets.UTF_8));
             default ->
                     HttpServerHandler.errorResponse(
-                            NOT_FOUND, "unknown path, expected /readiness or /status");
+                            NOT_FOUND, "/readiness and /status are answered here");
         };
     }
 
--- a/src/main/java/dillfront/common/environment/HttpServerHandler.java
+++ b/src/main/java/dillfront/common/environment/HttpServerHandler.java
@@ -83,8 +83,7 @@
                             () ->
                                     respond(
                                             errorResponse(
-                                                    503,
-                                                    "no response in " + timeoutMillis + " ms")));
+                                                    503, "no answer in " + timeoutMillis + " ms")));
         }
 
         void respond(Environment.HttpResponse response) {
@@ -139,7 +138,7 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            refuse(400, "malformed HTTP request", true);
+            refuse(400, "the request is no HTTP", true);
             return;
         }
         if (part instanceof HttpRequest request) {
@@ -149,7 +148,7 @@
             if (body.readableBytes() + content.content().readableBytes() > MAX_BODY_BYTES) {
                 refuse(
                         413,
-                        "body exceeds " + MAX_BODY_BYTES + " bytes",
+                        "a body of more than " + MAX_BODY_BYTES + " bytes",
                         !HttpUtil.isKeepAlive(currentRequest));
                 return;
             }
@@ -168,11 +167,11 @@
         if (expectation != null && (tooLarge || !expectation.equalsIgnoreCase("100-continue"))) {
             // The client may or may not send the body after the refusal, so the following bytes
             // cannot be parsed as requests.
-            refuse(tooLarge ? 413 : 417, "expectation refused", true);
+            refuse(tooLarge ? 413 : 417, "not expected", true);
         } else if (tooLarge) {
             refuse(
                     413,
-                    "body exceeds " + MAX_BODY_BYTES + " bytes",
+                    "a body of more than " + MAX_BODY_BYTES + " bytes",
                     !HttpUtil.isKeepAlive(request));
         } else if (expectation != null) {
             // Bypasses the codec, which would take it for the final response.
@@ -210,12 +209,12 @@
                                                     ? errorResponse(
                                                             503, String.valueOf(error.getMessage()))
                                                     : response == null || response.body() == null
-                                                            ? errorResponse(500, "no response")
+                                                            ? errorResponse(500, "no answer")
                                                             : response));
         } catch (RuntimeException | StackOverflowError error) {
             // The fault fails this request only, not the others on the connection.
             reportError(error);
-            exchange.respond(errorResponse(500, "internal error in " + request.method().name()));
+            exchange.respond(errorResponse(500, "fault in " + request.method().name()));
         }
     }
 
--- a/src/main/java/dillfront/router/frontend/ClientConnection.java
+++ b/src/main/java/dillfront/router/frontend/ClientConnection.java
@@ -205,7 +205,7 @@
                         ? null
                         : listener.authenticator.tlsHandler();
         if (tlsHandler != null && decoder.bufferedBytes() > 0) {
-            reject(Messages.PROTOCOL_VIOLATION, "data after the SSLRequest message");
+            reject(Messages.PROTOCOL_VIOLATION, "bytes behind the request for TLS");
             return;
         }
         ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte(tlsHandler == null ? 'N' : 'S'));
@@ -221,14 +221,16 @@
      */
     private void requestPassword(String name) {
         if (listener.authenticator.requiresTls() && !encrypted) {
-            reject(Refusal.UNKNOWN.sqlState(), "TLS is required");
+            reject(Refusal.UNKNOWN.sqlState(), "only over TLS");
             return;
         }
         Duration delay = listener.authenticator.retryDelay(address(), name);
         if (!delay.isZero()) {
             reject(
                     Refusal.PENALTY.sqlState(),
-                    "too many failed logins; retry in " + Math.max(1, delay.toMillis()) + " ms");
+                    "failed too often, to be tried again in "
+                            + Math.max(1, delay.toMillis())
+                            + " ms");
             return;
         }
         claimedUser = name;
@@ -280,7 +282,7 @@
                         if (!closed) {
                             responsePending = false;
                             // The full reason is only logged.
-                            reject(refusal.sqlState(), "authentication failed: " + refusal.label());
+                            reject(refusal.sqlState(), "not let in: " + refusal.label());
                         }
                     }
                 });
@@ -319,10 +321,7 @@
             }
             case 'F' -> {
                 if (!skippingUntilSync) {
-                    sendError(
-                            Messages.FEATURE_NOT_SUPPORTED,
-                            "function calls are not supported",
-                            null);
+                    sendError(Messages.FEATURE_NOT_SUPPORTED, "no functions are served here", null);
                 }
             }
             default -> reject(Messages.PROTOCOL_VIOLATION, "unknown message");
@@ -342,7 +341,7 @@
             // harmless. The connection stays open no longer than its pending response.
             message.release();
             listener.counters.declinedWhileStopping++;
-            sendError(Messages.DECLINED, "router is shutting down; retrying is safe", null);
+            sendError(Messages.DECLINED, "this router ends, trying again is harmless", null);
             listener.queryAnswered(this);
             return;
         }
@@ -408,9 +407,7 @@
             Duration retryAfter = refusal == Refusal.BUSY ? session.retryDelay() : Duration.ZERO;
             sendError(
                     refusal.sqlState(),
-                    refusal == Refusal.BUSY
-                            ? "the user's transaction share is exhausted"
-                            : "permission denied",
+                    refusal == Refusal.BUSY ? "beyond this user's share" : "no right to this",
                     retryAfter.isZero() ? null : Long.toString(Math.max(1, retryAfter.toMillis())));
         }
         return false;
@@ -424,7 +421,7 @@
     }
 
     private void endSession(Refusal refusal) {
-        reject(refusal.sqlState(), "session ended: " + refusal.label());
+        reject(refusal.sqlState(), "no longer let in: " + refusal.label());
     }
 
     /** Releases the transaction from its user's share. */
