--- a/src/main/java/dillfront/router/OptionalServices.java
+++ b/src/main/java/dillfront/router/OptionalServices.java
@@ -80,12 +80,10 @@
                     });
         }
         recovery =
-                store == null
-                                && operator.uncertainTransactionBounds() == null
-                                && !operator.assessesSites()
+                store == null && operator.inDoubtBounds() == null && !operator.assessesSites()
                         ? null
                         : new RecoveryCoordinator(
-                                operator.uncertainTransactionBounds(),
+                                operator.inDoubtBounds(),
                                 store,
                                 operator.assessesSites(),
                                 config.settings(),
@@ -115,16 +113,14 @@
                             router.clock()::now,
                             () -> Duration.ofMillis(router.clock().unixMillis()),
                             new SplittableRandom(~seed),
-                            (claim, age) ->
-                                    peerHealth.receiveClaim(claim, age, router.clock().now()));
+                            (claim, age) -> peerHealth.onClaim(claim, age, router.clock().now()));
             peerHealth.setGossip(gossipTransport::gossip);
             router.setPeerHealth(peerHealth);
             PeerInDoubtKeys peerKeys =
-                    operator.uncertainTransactionBounds() == null
+                    operator.inDoubtBounds() == null
                             ? null
                             : new PeerInDoubtKeys(
-                                    peers.size(),
-                                    operator.uncertainTransactionBounds().retention());
+                                    peers.size(), operator.inDoubtBounds().retention());
             if (peerKeys != null) {
                 recovery.peerInDoubtKeys(peerKeys);
             }
--- a/src/main/java/dillfront/router/operator/OperatorConfig.java
+++ b/src/main/java/dillfront/router/operator/OperatorConfig.java
@@ -52,8 +52,8 @@
  * @param controlAddress loopback address of the control socket; null for none
  * @param identity null if clients are not authenticated
  * @param stateFolder folder of the state that a restarted router resumes from; null for none
- * @param uncertainTransactionBounds bounds on the number and the age of the remembered transactions
- *     of uncertain outcome; null if none are remembered
+ * @param inDoubtBounds bounds on the number and the age of the remembered transactions of uncertain
+ *     outcome; null if none are remembered
  * @param assessesSites whether failures are assessed per site
  * @param file the path that was read; null for {@link #NONE}
  */
@@ -62,7 +62,7 @@
         InetSocketAddress controlAddress,
         IdentityConfig identity,
         Path stateFolder,
-        InDoubtKeys.Limits uncertainTransactionBounds,
+        InDoubtKeys.Limits inDoubtBounds,
         boolean assessesSites,
         Path file) {
 
--- a/src/main/java/dillfront/router/peers/PeerHealthExchange.java
+++ b/src/main/java/dillfront/router/peers/PeerHealthExchange.java
@@ -123,7 +123,7 @@
     }
 
     /** Handles a new claim of a peer. Claims about unknown nodes are not forwarded. */
-    public void receiveClaim(GossipUpdate claim, Duration age, Duration clock) {
+    public void onClaim(GossipUpdate claim, Duration age, Duration clock) {
         Integer node = nodes.get(claim.subject());
         if (node == null) {
             return;
--- a/src/main/java/dillfront/simulation/LoopbackSimulation.java
+++ b/src/main/java/dillfront/simulation/LoopbackSimulation.java
@@ -144,7 +144,7 @@
                             () -> Duration.ofMillis(System.currentTimeMillis()),
                             new SplittableRandom(scenario.seed() + i),
                             (claim, age) ->
-                                    router.peerHealth.receiveClaim(claim, age, scheduler.now())));
+                                    router.peerHealth.onClaim(claim, age, scheduler.now())));
         }
         for (int i = 0; i < routers.size(); i++) {
             schedulers.get(i).loop().execute(transports.get(i)::open);
--- a/src/main/java/dillfront/simulation/RouterSimulation.java
+++ b/src/main/java/dillfront/simulation/RouterSimulation.java
@@ -135,7 +135,7 @@
                                         .routers
                                         .get(instance)
                                         .peerHealth
-                                        .receiveClaim(claim, age, scheduler.now()));
+                                        .onClaim(claim, age, scheduler.now()));
         simulation[0] =
                 new RouterSimulation(
                         scenario,
